--- a/src/gateway/qr_gateway.h
+++ b/src/gateway/qr_gateway.h
@@ -19,7 +19,7 @@
 #include "qr_budget.h"
 #include "qr_counters.h"
 #include "qr_deadlines.h"
-#include "qr_early.h"
+#include "qr_startup_calls.h"
 #include "qr_requests.h"
 
 #include <uv.h>
@@ -102,7 +102,7 @@
     GPtrArray *followers; /* QRPeerConn *: sidecars that asked to be told */
     GPtrArray *sidecars;  /* QRPeerConn *: all that dialled us */
     GPtrArray *relays;    /* QRRelay *: calls under way */
-    GQueue early;         /* QRStartupCall *: see qr_early.h */
+    GQueue early;         /* QRStartupCall *: see qr_startup_calls.h */
     QRCounters counters;
     uv_timer_t timer;
     uv_signal_t sigterm, sigint, sighup;
--- a/src/gateway/qr_early.c
+++ b/src/gateway/qr_startup_calls.c
@@ -1,7 +1,7 @@
 /*
  * Calls that arrive before the gateway has its first configuration.
  */
-#include "qr_early.h"
+#include "qr_startup_calls.h"
 #include "qr_gateway.h"
 
 #define MAX_WAIT_MS 1200
--- a/src/gateway/qr_early.h
+++ b/src/gateway/qr_startup_calls.h
@@ -7,8 +7,8 @@
  * would cost more: many callers retry only once, and a caller whose connection
  * broke when the previous process ended has spent its first try already.
  */
-#ifndef QR_EARLY_H
-#define QR_EARLY_H
+#ifndef QR_STARTUP_CALLS_H
+#define QR_STARTUP_CALLS_H
 
 #include "net/qr_server.h"
 
