--- /dev/null
+++ b/src/gateway/qr_startup_calls.c
@@ -0,0 +1,63 @@
+/*
+ * Calls that arrive before the gateway has its first configuration.
+ */
+#include "qr_startup_calls.h"
+#include "qr_gateway.h"
+
+#define MAX_WAIT_MS 1200
+#define WAIT_DIVISOR 3 /* a call waits this part of its deadline */
+#define MAX_CALLS 256
+
+bool qr_startup_calls_add(QRGateway *g, QRExchange *x, uint32_t deadline_ms)
+{
+    QRStartupCall *c;
+
+    if (!qr_gateway_is_starting(g) || g->early.length >= MAX_CALLS)
+        return false;
+    c = g_new(QRStartupCall, 1);
+    c->x = x;
+    c->wait_until_ms =
+        qr_gateway_now(g) + MIN(MAX_WAIT_MS, deadline_ms / WAIT_DIVISOR);
+    g_queue_push_tail(&g->early, c);
+    return true;
+}
+
+void qr_startup_calls_tick(QRGateway *g, uint64_t now_ms)
+{
+    /* handling a call may close others and remove them from the queue: no link
+       of the queue is kept across iterations */
+    for (unsigned n = g->early.length; n > 0 && g->early.length > 0; n--) {
+        QRStartupCall *c = g_queue_pop_head(&g->early);
+        bool is_due = now_ms >= c->wait_until_ms;
+
+        if (!g->operator.policy && !is_due) {
+            g_queue_push_tail(&g->early, c);
+            continue;
+        }
+        qr_gateway_handle_call(g, c->x);
+        g_free(c);
+    }
+}
+
+void qr_startup_calls_remove(QRGateway *g, const QRExchange *x)
+{
+    for (GList *l = g->early.head; l; l = l->next) {
+        QRStartupCall *c = l->data;
+
+        if (c->x != x)
+            continue;
+        g_queue_delete_link(&g->early, l);
+        g_free(c);
+        return;
+    }
+}
+
+void qr_startup_calls_refuse_all(QRGateway *g)
+{
+    QRStartupCall *c;
+
+    while ((c = g_queue_pop_head(&g->early))) {
+        qr_gateway_handle_call(g, c->x);
+        g_free(c);
+    }
+}
