--- a/src/gateway/qr_budget.c
+++ b/src/gateway/qr_budget.c
@@ -1,36 +1,43 @@
 /*
- * Retry budget over a sliding window, and what all gateways' budgets add up to.
+ * Retry budget over a sliding window, with a bound on the sum over all
+ gateways.
  *
- * Allowed, in any window: the ratio x the calls of that window or of the one
- * before it, whichever are more, + the allowance; of what arrives at engines,
- * from all gateways. No gateway knows what the others do, nor what its own last
- * run did. So each takes half of all that, and by design:
+ * The bound: in any window, the retries that arrive at engines from all
+ gateways
+ * are at most the ratio x the calls + the allowance. The calls are those of
+ that
+ * window or of the window before, whichever are more. No gateway knows the
+ * retries of the others, nor those of its own previous run (a run is one
+ process
+ * from start to exit). Each gateway therefore uses half of the bound:
  *
- * - A run of a gateway sends half the ratio x its own calls of the last window
- *   again. These came in the window that is looked at, or in the one before,
- *   and each counts for one run only. All runs together: half the ratio x the
- *   calls of both windows, that is the ratio x the greater at most, however
- *   runs end and calls move.
- * - A run takes its part of four tenths of the allowance once what the run
- *   before it sent is a window old. Until then it takes its part of a tenth,
- *   which is enough for eight runs. Where there are others, none takes any
- *   before it has listened for two leases (2 s), so there are six at most. All
- *   together: half of the allowance if each knows all gateways, the whole if
- *   each knows one in two.
- * - What is late by a window at most meets what is sent a window later: twice
- *   the half, if calls come evenly and each knows all gateways.
+ * - A run retries at most half the ratio x its own calls of the last window.
+ *   These calls came in the window under consideration or in the one before,
+ *   and each call counts for one run only. The sum over all runs is half the
+ *   ratio x the calls of both windows, which is at most the ratio x the greater
+ *   number, however runs end and calls move between gateways.
+ * - A run uses its share of 0.4 of the allowance once the retries of the
+ *   previous run are a window old. Until then the run uses its share of 0.1,
+ *   divided by eight runs. If there are other gateways, no run uses any before
+ *   two leases (2 s) of listening, which leaves at most six runs per window.
+ The
+ *   sum is half of the allowance if each gateway knows all gateways, and the
+ *   whole allowance if each knows half of them.
+ * - Retries that arrive up to a window late coincide with those sent a window
+ *   later. The sum is twice the half, if calls come evenly and each gateway
+ *   knows all gateways.
  *
- * Not covered: retries that come late, for calls of before the two windows,
- * where neither has as many.
+ * Not covered: late retries for calls from before the two windows, if neither
+ * window has as many calls.
  */
 #include "qr_budget.h"
 
 #include <string.h>
 
-#define RATIO_SHARE 0.5
-#define ALLOWANCE_SHARE 0.4
-#define YOUNG_SHARE 0.1
-#define YOUNG_RUNS 8 /* of a gateway in a window */
+#define RATIO_FRACTION 0.5
+#define ALLOWANCE_FRACTION 0.4
+#define NEW_RUN_FRACTION 0.1
+#define MAX_NEW_RUNS 8 /* of one gateway in a window */
 
 void qr_budget_init(QRBudget *b, double ratio, uint32_t window_ms)
 {
@@ -40,12 +47,13 @@
     b->slice_ms = (window_ms + QR_BUDGET_SLICES - 1) / QR_BUDGET_SLICES;
 }
 
-double qr_budget_part(const QRBudget *b, const QRBudgetFleet *fleet)
+double qr_budget_allowance_share(const QRBudget *b, const QRBudgetFleet *fleet)
 {
-    double share = fleet->age_ms < b->window_ms ? YOUNG_SHARE / YOUNG_RUNS
-                                                : ALLOWANCE_SHARE;
+    double fraction = fleet->age_ms < b->window_ms
+                          ? NEW_RUN_FRACTION / MAX_NEW_RUNS
+                          : ALLOWANCE_FRACTION;
 
-    return fleet->gateways ? fleet->allowance * share / fleet->gateways : 0;
+    return fleet->gateways ? fleet->allowance * fraction / fleet->gateways : 0;
 }
 
 static unsigned current_slice(QRBudget *b, uint64_t now_ms)
@@ -60,16 +68,16 @@
     return i;
 }
 
-void qr_budget_call(QRBudget *b, uint64_t now_ms)
+void qr_budget_add_call(QRBudget *b, uint64_t now_ms)
 {
     b->slices[current_slice(b, now_ms)].calls++;
 }
 
-bool qr_budget_retry(QRBudget *b, double part, uint64_t now_ms)
+bool qr_budget_take_retry(QRBudget *b, double allowance_share, uint64_t now_ms)
 {
     unsigned at = current_slice(b, now_ms);
     uint64_t newest = b->slices[at].slice;
-    /* retries count for a window at least, calls for a window at most */
+    /* retries count for at least a window, calls for at most a window */
     unsigned call_slices = b->window_ms / b->slice_ms;
     double calls = 0, retries = 1;
 
@@ -80,7 +88,7 @@
         if (b->slices[i].slice + call_slices > newest)
             calls += b->slices[i].calls;
     }
-    if (retries > b->ratio * RATIO_SHARE * calls + part)
+    if (retries > b->ratio * RATIO_FRACTION * calls + allowance_share)
         return false;
     b->slices[at].retries++;
     return true;
--- a/src/gateway/qr_fingerprint.c
+++ b/src/gateway/qr_fingerprint.c
@@ -1,5 +1,5 @@
 /*
- * What makes two requests of callers the same.
+ * Fingerprints of callers' requests.
  */
 #include "qr_fingerprint.h"
 
@@ -8,8 +8,8 @@
 #include <openssl/evp.h>
 #include <string.h>
 
-/* The length goes before the bytes: "ab" + "c" is not "a" + "bc". */
-static bool add(EVP_MD_CTX *ctx, const void *p, size_t len)
+/* Hashes the length first, which tells "ab" + "c" from "a" + "bc". */
+static bool hash_bytes(EVP_MD_CTX *ctx, const void *p, size_t len)
 {
     uint64_t n = len;
 
@@ -17,9 +17,9 @@
            EVP_DigestUpdate(ctx, p, len);
 }
 
-static bool add_text(EVP_MD_CTX *ctx, const char *text)
+static bool hash_text(EVP_MD_CTX *ctx, const char *text)
 {
-    return add(ctx, text ? text : "", text ? strlen(text) : 0);
+    return hash_bytes(ctx, text ? text : "", text ? strlen(text) : 0);
 }
 
 bool qr_fingerprint_make(const QRFingerprintParts *parts, QRFingerprint *out)
@@ -27,16 +27,17 @@
     EVP_MD_CTX *ctx = EVP_MD_CTX_new();
     unsigned char md[EVP_MAX_MD_SIZE];
     bool ok = ctx && EVP_DigestInit_ex(ctx, EVP_sha256(), NULL) &&
-              add_text(ctx, parts->method) && add_text(ctx, parts->host) &&
-              add_text(ctx, parts->target) && add_text(ctx, parts->team) &&
-              add(ctx, parts->body, parts->body_len) &&
+              hash_text(ctx, parts->method) && hash_text(ctx, parts->host) &&
+              hash_text(ctx, parts->target) && hash_text(ctx, parts->team) &&
+              hash_bytes(ctx, parts->body, parts->body_len) &&
               EVP_DigestFinal_ex(ctx, md, NULL);
 
     EVP_MD_CTX_free(ctx);
     if (ok)
         memcpy(out->bytes, md, sizeof(out->bytes));
     else
-        qr_logf(QR_LEVEL_ERROR, "requests", "no fingerprint why=digest failed");
+        qr_logf(QR_LEVEL_ERROR, "requests",
+                "fingerprint not computed why=digest failed");
     return ok;
 }
 
--- a/src/gateway/qr_fingerprint.h
+++ b/src/gateway/qr_fingerprint.h
@@ -1,6 +1,6 @@
 /*
- * What makes two requests of callers the same, whatever their ids: method,
- * host, path and query, team, body.
+ * Fingerprint of a caller's request. Requests with equal method, host, path and
+ * query, team and body have the same fingerprint; call ids are not included.
  */
 #ifndef QR_FINGERPRINT_H
 #define QR_FINGERPRINT_H
@@ -21,15 +21,17 @@
 } QRFingerprintParts;
 
 /*
- * The start of a SHA-256 over all parts, each behind its length: callers choose
- * their bytes, and must not be able to make another's request look like theirs.
- * Returns false, and logs it, if the library fails.
+ * Computes the first QR_FINGERPRINT_BYTES of a SHA-256 over all parts, each
+ * preceded by its length. A cryptographic hash is needed because callers choose
+ * the bytes, and must not be able to make another caller's request match
+ * theirs. Returns false and logs an error if the library fails.
  */
 bool qr_fingerprint_make(const QRFingerprintParts *parts, QRFingerprint *out);
+/* Writes the fingerprint in hexadecimal. */
 void qr_fingerprint_text(const QRFingerprint *f, char out[QR_FINGERPRINT_HEX]);
-/* False if 'text' is none. */
+/* Returns false if 'text' is not a fingerprint in hexadecimal. */
 bool qr_fingerprint_parse(const char *text, QRFingerprint *out);
-/* For hash tables whose keys are fingerprints. */
+/* For a GHashTable whose keys are fingerprints. */
 guint qr_fingerprint_hash(const void *f);
 gboolean qr_fingerprint_equal(const void *a, const void *b);
 
--- a/src/gateway/qr_gateway_beliefs.c
+++ b/src/gateway/qr_gateway_beliefs.c
@@ -101,7 +101,7 @@
 {
     qr_engines_drop(&g->engines, e->record->id, qr_gateway_now(g));
     qr_logf(QR_LEVEL_INFO, "engines", "gone engine=%s", e->record->id);
-    qr_requests_engine_over(g, e->record->id);
+    qr_requests_engine_ended(g, e->record->id);
     if (!qr_engines_at(&g->engines, e->record->address))
         qr_gateway_sidecar_leaves(g, e->record->address, true);
 }
@@ -237,7 +237,7 @@
                 "ended earlier ones address=%s seen=%s " QR_POSITION_FORMAT,
                 record->address, record->id, QR_POSITION_ARGS(r->position));
     if (g_strcmp0(change, QR_CHANGE_STARTED) == 0)
-        qr_requests_engine_over(g, record->id);
+        qr_requests_engine_ended(g, record->id);
     if (change) {
         qr_logf(QR_LEVEL_INFO, "engines",
                 "%s engine=%s service=%s address=%s zone=%s draining=%d "
--- a/src/gateway/qr_gateway_epoch.c
+++ b/src/gateway/qr_gateway_epoch.c
@@ -40,7 +40,7 @@
         kept_log(g, epoch);
         /* engines whose records the copy lacks write them again */
         g->engines_regained_ms = now;
-        qr_requests_store_again(g, epoch);
+        qr_requests_rewrite_lost(g, epoch);
         g->went_back = true;
     }
     g->store_epoch = epoch;
--- a/src/gateway/qr_gateway_peers.c
+++ b/src/gateway/qr_gateway_peers.c
@@ -221,7 +221,7 @@
         if (is_sidecar(qr_peer_data(peer)))
             welcome_sidecar(g, peer, &knows);
         else
-            qr_requests_welcome(g, peer);
+            qr_requests_send_known(g, peer);
     }
 }
 
@@ -264,7 +264,7 @@
             " later_run_ms=%" G_GUINT64_FORMAT,
             e->record->id, e->record->address, e->record->born_ms, born_ms);
     e->ended = true;
-    qr_requests_engine_over(g, e->record->id);
+    qr_requests_engine_ended(g, e->record->id);
     qr_gateway_share_hurry(g);
 }
 
@@ -379,7 +379,7 @@
         qr_gateway_slot_reply(g, frame->slot_reply);
         break;
     case QR__FLEET__FRAME__BODY_REQUESTS:
-        qr_requests_heard(g, frame->requests);
+        qr_requests_receive(g, frame->requests);
         break;
     default:
         break;
--- a/src/gateway/qr_relay_end.c
+++ b/src/gateway/qr_relay_end.c
@@ -134,7 +134,7 @@
 static unsigned come_back_ms(const QRRelay *r, QRCounter counter)
 {
     if (counter == QR_COUNTER_refused_held)
-        return (unsigned)qr_requests_held_ms(r->g, &r->fingerprint);
+        return (unsigned)qr_requests_hold_left_ms(r->g, &r->fingerprint);
     if (r->held_off_ms > 0)
         return (unsigned)r->held_off_ms + BACK_BUSY_MS +
                (unsigned)(next_random(r->g) % BACK_BUSY_SPREAD_MS);
--- a/src/gateway/qr_relay_send.c
+++ b/src/gateway/qr_relay_send.c
@@ -7,7 +7,7 @@
 
 #define CONNECT_MS 400
 /* The pause after an engine's end, and two ticks. */
-#define APART_WAIT_MS (QR_RUN_ENDS_APART_MS + 50)
+#define APART_WAIT_MS (QR_MIN_TRY_GAP_MS + 50)
 #define LATE_SMOOTHING 0.05 /* some twenty calls back */
 /* Before the bound of a version: no sending to engines with an older one. */
 #define SEND_MARGIN_MS 1000
--- a/src/gateway/qr_relay_suspect.c
+++ b/src/gateway/qr_relay_suspect.c
@@ -25,9 +25,9 @@
 
 QRSuspicion qr_relay_suspicion(QRRelay *r)
 {
-    if (!qr_requests_suspects_any(r->g) || !make_fingerprint(r))
+    if (!qr_requests_has_suspects(r->g) || !make_fingerprint(r))
         return QR_SUSPICION_NONE;
-    return qr_requests_ask(r->g, &r->fingerprint);
+    return qr_requests_check(r->g, &r->fingerprint);
 }
 
 /* Its sending counts as a trial if the request is suspect. */
@@ -36,7 +36,7 @@
     if (s->on_trial || qr_relay_suspicion(r) == QR_SUSPICION_NONE)
         return;
     s->on_trial = true;
-    qr_requests_trial(r->g, &r->fingerprint);
+    qr_requests_trial_started(r->g, &r->fingerprint);
 }
 
 void qr_relay_suspect_sent(QRRelay *r, QRSending *s)
@@ -49,13 +49,13 @@
     if (!s->on_trial)
         return;
     s->on_trial = false;
-    qr_requests_trial_over(r->g, &r->fingerprint);
+    qr_requests_trial_ended(r->g, &r->fingerprint);
 }
 
 void qr_relay_suspect_broke(QRRelay *r, QRSending *s)
 {
     const QREngine *e = qr_sending_engine(r, s);
-    QRBrokenCall call = {r->id, &r->fingerprint, s->sent_ms, s->on_trial};
+    QRInterruptedCall call = {r->id, &r->fingerprint, s->sent_ms, s->on_trial};
 
     /* one that said that it would leave, or whose record went, has ended as
        planned; one that starts new weights cuts what still runs */
@@ -63,7 +63,7 @@
         (e->told && e->told_switching) || !make_fingerprint(r))
         return;
     s->on_trial = false; /* until it is known whether the engine has ended */
-    qr_requests_broke(r->g, e, &call);
+    qr_requests_call_interrupted(r->g, e, &call);
 }
 
 /* An answer that ends with its connection looks whole, too, where its engine
@@ -78,9 +78,9 @@
 
 void qr_relay_suspect_answered(QRRelay *r)
 {
-    if (qr_requests_suspects_any(r->g) && is_surely_whole(r) &&
+    if (qr_requests_has_suspects(r->g) && is_surely_whole(r) &&
         make_fingerprint(r))
-        qr_requests_answered(r->g, &r->fingerprint);
+        qr_requests_note_answer(r->g, &r->fingerprint);
 }
 
 void qr_relay_join_trials(QRGateway *g)
--- a/src/gateway/qr_requests.c
+++ b/src/gateway/qr_requests.c
@@ -1,46 +1,49 @@
 /*
- * Requests that may crash engines: what a gateway sees itself.
+ * Requests that may crash engines: detection by this gateway.
  *
- * A connection that breaks under a call says little: engines cut answers, links
- * break. So a new one is opened to the engine at once, which takes a round trip
- * and costs nothing where the engine lives, for the next call uses it. That
- * nobody listens there any more says that the engine has ended; as does, where
- * the machine says nothing at all, that its record goes or tells a later start.
+ * A connection that breaks during a call does not prove that the engine has
+ * ended: engines cut answers and links break. The gateway therefore opens a new
+ * connection to the engine at once. This takes one round trip and is free if
+ the
+ * engine is running, since the next call uses the connection. A refused
+ * connection means that the engine has ended. If the machine does not respond,
+ * the engine counts as ended when its record is removed or has a later start.
  */
 #include "qr_requests_parts.h"
 
 #include "base/qr_json.h"
 
-#define REACH_MS 400 /* as calls have to open a connection */
-/* A record goes after three heartbeats of silence (3.6 s), read each 0.5 s. */
-#define BROKEN_KEPT_MS 5000
-#define SWEEP_MS 2000
-/* Tries of one request, one after the other: from the second on other gateways
-   are told of each, so that they wait for it. */
-#define TRIES_TOLD 2
-
-/* Calls of ours that broke off at one run of an engine. */
-typedef struct BrokenRun {
+#define PROBE_TIMEOUT_MS 400 /* the same as for calls */
+/* A record is removed after three missed heartbeats (3.6 s), and records are
+   read every 0.5 s. */
+#define RUN_KEPT_MS 5000
+#define SWEEP_INTERVAL_MS 2000
+/* From this number of consecutive tries on, each trial of a request is reported
+   to the other gateways, which wait until the trial is over. */
+#define MIN_SHARED_TRIES 2
+
+/* One run of an engine, with this gateway's calls that broke off there. */
+typedef struct EngineRun {
     char *engine, *address;
-    uint64_t born_ms, broke_ms;
-    bool asked;    /* whether somebody listens there; no answer yet */
-    GArray *calls; /* BrokenCall */
-} BrokenRun;
+    uint64_t born_ms, interrupted_ms;
+    bool probing;  /* a connection attempt is in progress */
+    GArray *calls; /* InterruptedCall */
+} EngineRun;
 
-typedef struct BrokenCall {
+typedef struct InterruptedCall {
     QRFingerprint fingerprint;
     uint64_t sent_ms;
     bool on_trial;
-} BrokenCall;
+} InterruptedCall;
 
-static void broken_free(void *p)
+static void engine_run_free(void *p)
 {
-    BrokenRun *b = p;
+    EngineRun *run = p;
 
-    g_free(b->engine);
-    g_free(b->address);
-    g_array_unref(b->calls);
-    g_free(b);
+    g_free(run->engine);
+    g_free(run->address);
+    g_array_unref(run->calls);
+    g_free(run);
 }
 
 void qr_requests_init(QRGateway *g)
@@ -48,8 +51,8 @@
     QRRequests *q = &g->requests;
 
     qr_suspects_init(&q->suspects);
-    q->broken = g_ptr_array_new_with_free_func(broken_free);
-    q->answered = g_array_new(FALSE, FALSE, sizeof(QRFingerprint));
+    q->runs = g_ptr_array_new_with_free_func(engine_run_free);
+    q->cleared = g_array_new(FALSE, FALSE, sizeof(QRFingerprint));
 }
 
 void qr_requests_clear(QRGateway *g)
@@ -57,21 +60,21 @@
     QRRequests *q = &g->requests;
 
     qr_suspects_clear(&q->suspects);
-    g_ptr_array_unref(q->broken);
-    g_array_unref(q->answered);
+    g_ptr_array_unref(q->runs);
+    g_array_unref(q->cleared);
 }
 
-bool qr_requests_suspects_any(const QRGateway *g)
+bool qr_requests_has_suspects(const QRGateway *g)
 {
     return !qr_suspects_is_empty(&g->requests.suspects);
 }
 
-QRSuspicion qr_requests_ask(QRGateway *g, const QRFingerprint *f)
+QRSuspicion qr_requests_check(QRGateway *g, const QRFingerprint *f)
 {
-    return qr_suspects_ask(&g->requests.suspects, f, qr_gateway_now(g));
+    return qr_suspects_check(&g->requests.suspects, f, qr_gateway_now(g));
 }
 
-uint64_t qr_requests_held_ms(const QRGateway *g, const QRFingerprint *f)
+uint64_t qr_requests_hold_left_ms(const QRGateway *g, const QRFingerprint *f)
 {
     const QRSuspect *s = qr_suspects_get(&g->requests.suspects, f);
     uint64_t now = qr_gateway_now(g);
@@ -79,166 +82,173 @@
     return s && qr_suspect_is_held(s, now) ? s->held_until_ms - now : 0;
 }
 
-/* Whether other gateways are told of each of its tries. */
-static bool is_told(const QRSuspect *s)
+/* Whether each trial of the suspect is reported to other gateways. */
+static bool is_shared(const QRSuspect *s)
 {
-    return s->holds > 0 || qr_suspect_tries(s) >= TRIES_TOLD;
+    return s->hold_count > 0 || qr_suspect_tries(s) >= MIN_SHARED_TRIES;
 }
 
-void qr_requests_trial(QRGateway *g, const QRFingerprint *f)
+void qr_requests_trial_started(QRGateway *g, const QRFingerprint *f)
 {
     QRSuspect *s = qr_suspects_get(&g->requests.suspects, f);
 
     if (!s)
         return;
-    s->own_trials++;
+    s->local_trials++;
     qr_relay_count(g, QR_COUNTER_trials);
-    if (is_told(s))
-        qr_requests_tell_trial(g, s, false);
+    if (is_shared(s))
+        qr_requests_broadcast_trial(g, s, false);
 }
 
-void qr_requests_trial_over(QRGateway *g, const QRFingerprint *f)
+void qr_requests_trial_ended(QRGateway *g, const QRFingerprint *f)
 {
     QRSuspect *s = qr_suspects_get(&g->requests.suspects, f);
 
-    if (!s || s->own_trials == 0 || --s->own_trials > 0)
+    if (!s || s->local_trials == 0 || --s->local_trials > 0)
         return;
-    if (is_told(s))
-        qr_requests_tell_trial(g, s, true);
+    if (is_shared(s))
+        qr_requests_broadcast_trial(g, s, true);
 }
 
-void qr_requests_answered(QRGateway *g, const QRFingerprint *f)
+void qr_requests_note_answer(QRGateway *g, const QRFingerprint *f)
 {
     QRRequests *q = &g->requests;
     const QRSuspect *s = qr_suspects_get(&q->suspects, f);
     bool stored = s && s->stored;
     char text[QR_FINGERPRINT_HEX];
 
-    if (!qr_suspects_answered(&q->suspects, f, qr_gateway_now(g)))
+    if (!qr_suspects_note_answer(&q->suspects, f, qr_gateway_now(g)))
         return;
     qr_fingerprint_text(f, text);
-    qr_logf(QR_LEVEL_INFO, "requests", "cleared request=%s why=answered", text);
-    g_array_append_val(q->answered, *f);
+    qr_logf(QR_LEVEL_INFO, "requests",
+            "no longer suspect request=%s why=answered", text);
+    g_array_append_val(q->cleared, *f);
     if (stored)
-        qr_requests_store_cleared(g, f);
+        qr_requests_schedule_clear(g, f);
 }
 
-static BrokenRun *broken_find(const QRRequests *q, const char *engine)
+static EngineRun *find_run(const QRRequests *q, const char *engine)
 {
-    for (unsigned i = 0; i < q->broken->len; i++) {
-        BrokenRun *b = q->broken->pdata[i];
+    for (unsigned i = 0; i < q->runs->len; i++) {
+        EngineRun *run = q->runs->pdata[i];
 
-        if (strcmp(b->engine, engine) == 0)
-            return b;
+        if (strcmp(run->engine, engine) == 0)
+            return run;
     }
     return NULL;
 }
 
-/* Others like them need not wait for these any longer. */
-static void broken_release(QRGateway *g, BrokenRun *b)
+/* Ends the trials of these calls, which lets equal requests proceed. */
+static void end_trials(QRGateway *g, EngineRun *run)
 {
-    for (unsigned i = 0; i < b->calls->len; i++) {
-        BrokenCall *c = &g_array_index(b->calls, BrokenCall, i);
+    for (unsigned i = 0; i < run->calls->len; i++) {
+        InterruptedCall *c = &g_array_index(run->calls, InterruptedCall, i);
 
         if (c->on_trial)
-            qr_requests_trial_over(g, &c->fingerprint);
+            qr_requests_trial_ended(g, &c->fingerprint);
         c->on_trial = false;
     }
 }
 
-static void broken_drop(QRGateway *g, BrokenRun *b)
+static void drop_run(QRGateway *g, EngineRun *run)
 {
-    broken_release(g, b);
-    g_ptr_array_remove_fast(g->requests.broken, b);
+    end_trials(g, run);
+    g_ptr_array_remove_fast(g->requests.runs, run);
 }
 
-/* The run has ended, with these calls at work there. */
-static void broken_ended(QRGateway *g, BrokenRun *b, const char *why)
+/* Records and broadcasts the end of a run that interrupted these calls. */
+static void handle_run_end(QRGateway *g, EngineRun *run, const char *why)
 {
     QRRequests *q = &g->requests;
-    g_autoptr(GPtrArray) words = qr_request_words_new();
-    QRRunEnd end = {qr_hash_str(b->engine, 0), b->born_ms, 0, b->broke_ms};
+    g_autoptr(GPtrArray) messages = qr_request_messages_new();
+    QRRunEnd end = {qr_hash_str(run->engine, 0), run->born_ms, 0,
+                    run->interrupted_ms};
     uint64_t now = qr_gateway_now(g);
     unsigned suspect = 0;
 
     qr_relay_count(g, QR_COUNTER_engine_ends);
-    for (unsigned i = 0; i < b->calls->len; i++) {
-        const BrokenCall *c = &g_array_index(b->calls, BrokenCall, i);
+    for (unsigned i = 0; i < run->calls->len; i++) {
+        const InterruptedCall *c =
+            &g_array_index(run->calls, InterruptedCall, i);
         QRSuspect *s;
 
         end.sent_ms = c->sent_ms;
-        s = qr_suspects_ended(&q->suspects, &c->fingerprint, &end, now);
+        s = qr_suspects_add_end(&q->suspects, &c->fingerprint, &end, now);
         if (s)
-            s->own_end_ms = b->broke_ms;
+            s->local_end_ms = run->interrupted_ms;
         suspect += s != NULL;
-        qr_request_word_end(qr_request_word(words, &c->fingerprint), &end, now);
+        qr_request_message_add_end(
+            qr_request_message_add(messages, &c->fingerprint), &end, now);
     }
     qr_logf(QR_LEVEL_WARN, "requests",
             "engine ended engine=%s born_ms=%" G_GUINT64_FORMAT
             " calls=%u suspect=%u found_after_ms=%" G_GUINT64_FORMAT " why=%s",
-            b->engine, b->born_ms, b->calls->len, suspect, now - b->broke_ms,
-            why);
-    qr_requests_tell(g, words);
-    broken_drop(g, b);
-    /* others of the same requests that are under way here are on trial, too */
+            run->engine, run->born_ms, run->calls->len, suspect,
+            now - run->interrupted_ms, why);
+    qr_requests_broadcast(g, messages);
+    drop_run(g, run);
+    /* other calls in progress with these requests become trials as well */
     qr_relay_join_trials(g);
 }
 
-void qr_requests_engine_over(QRGateway *g, const char *engine)
+void qr_requests_engine_ended(QRGateway *g, const char *engine)
 {
-    BrokenRun *b = broken_find(&g->requests, engine);
+    EngineRun *run = find_run(&g->requests, engine);
 
-    if (b)
-        broken_ended(g, b, "its record went or tells a later start");
+    if (run)
+        handle_run_end(g, run, "its record was removed or has a later start");
 }
 
-static void broken_reached(void *owner, const char *address,
-                           QRClientReached reached)
+static void handle_probe_result(void *owner, const char *address,
+                                QRClientReached reached)
 {
     QRGateway *g = owner;
-    GPtrArray *all = g->requests.broken;
+    GPtrArray *all = g->requests.runs;
 
     for (unsigned i = all->len; i > 0; i--) {
-        BrokenRun *b = all->pdata[i - 1];
+        EngineRun *run = all->pdata[i - 1];
 
-        if (!b->asked || strcmp(b->address, address) != 0)
+        if (!run->probing || strcmp(run->address, address) != 0)
             continue;
-        b->asked = false;
+        run->probing = false;
         if (reached == QR_CLIENT_REFUSED) {
-            broken_ended(g, b, "nobody listens there");
+            handle_run_end(g, run, "connection refused");
             return;
         }
-        /* if another run listens there already, its record will say so */
-        broken_release(g, b);
+        /* if a new run is already listening there, its record will show that */
+        end_trials(g, run);
     }
 }
 
-void qr_requests_broke(QRGateway *g, const QREngine *engine,
-                       const QRBrokenCall *call)
+void qr_requests_call_interrupted(QRGateway *g, const QREngine *engine,
+                                  const QRInterruptedCall *call)
 {
     QRRequests *q = &g->requests;
     const QREngineRecord *r = engine->record;
-    BrokenRun *b = broken_find(q, r->id);
-    BrokenCall row = {*call->fingerprint, call->sent_ms, call->on_trial};
+    EngineRun *run = find_run(q, r->id);
+    InterruptedCall interrupted = {*call->fingerprint, call->sent_ms,
+                                   call->on_trial};
     char text[QR_FINGERPRINT_HEX];
 
     qr_fingerprint_text(call->fingerprint, text);
     qr_logf(QR_LEVEL_INFO, "requests",
-            "broke call=%s engine=%s request=%s at_work_ms=%" G_GUINT64_FORMAT,
+            "connection broke call=%s engine=%s request=%s "
+            "at_work_ms=%" G_GUINT64_FORMAT,
             call->id, r->id, text, qr_gateway_now(g) - call->sent_ms);
-    if (!b) {
-        b = g_new0(BrokenRun, 1);
-        b->engine = g_strdup(r->id);
-        b->address = g_strdup(r->address);
-        b->born_ms = r->born_ms;
-        b->broke_ms = qr_gateway_now(g);
-        b->calls = g_array_new(FALSE, FALSE, sizeof(BrokenCall));
-        g_ptr_array_add(q->broken, b);
+    if (!run) {
+        run = g_new0(EngineRun, 1);
+        run->engine = g_strdup(r->id);
+        run->address = g_strdup(r->address);
+        run->born_ms = r->born_ms;
+        run->interrupted_ms = qr_gateway_now(g);
+        run->calls = g_array_new(FALSE, FALSE, sizeof(InterruptedCall));
+        g_ptr_array_add(q->runs, run);
     }
-    g_array_append_val(b->calls, row);
-    if (!b->asked) {
-        b->asked = true;
-        qr_client_reach(g->to_engines, b->address, REACH_MS, broken_reached, g);
+    g_array_append_val(run->calls, interrupted);
+    if (!run->probing) {
+        run->probing = true;
+        qr_client_reach(g->to_engines, run->address, PROBE_TIMEOUT_MS,
+                        handle_probe_result, g);
     }
 }
 
@@ -246,18 +256,18 @@
 {
     QRRequests *q = &g->requests;
 
-    for (unsigned i = q->broken->len; i > 0; i--) {
-        BrokenRun *b = q->broken->pdata[i - 1];
+    for (unsigned i = q->runs->len; i > 0; i--) {
+        EngineRun *run = q->runs->pdata[i - 1];
 
-        if (!b->asked && now_ms > b->broke_ms + BROKEN_KEPT_MS)
-            broken_drop(g, b);
+        if (!run->probing && now_ms > run->interrupted_ms + RUN_KEPT_MS)
+            drop_run(g, run);
     }
-    qr_suspects_judge(&q->suspects, now_ms);
-    qr_requests_report(g);
-    qr_requests_tell_answered(g);
+    qr_suspects_evaluate(&q->suspects, now_ms);
+    qr_requests_report_held(g);
+    qr_requests_broadcast_answered(g);
     qr_requests_store_tick(g, now_ms);
-    if (now_ms >= q->sweep_ms) {
-        q->sweep_ms = now_ms + SWEEP_MS;
+    if (now_ms >= q->next_sweep_ms) {
+        q->next_sweep_ms = now_ms + SWEEP_INTERVAL_MS;
         qr_suspects_sweep(&q->suspects, now_ms);
     }
 }
@@ -273,7 +283,7 @@
                 qr_suspect_is_held(s, now_ms) ? "held" : "on trial");
     qr_json_int(o, "left_s",
                 (int64_t)(MAX(s->held_until_ms, now_ms) - now_ms) / 1000);
-    qr_json_int(o, "times_held", s->holds);
+    qr_json_int(o, "times_held", s->hold_count);
     qr_json_int(o, "engines_ended", s->ends.total);
     qr_json_int(o, "tries_in_a_row", qr_suspect_tries(s));
     qr_json_int(o, "stored", s->stored);
@@ -289,7 +299,7 @@
 
     g_hash_table_iter_init(&it, g->requests.suspects.rows);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        if (is_told(value))
+        if (is_shared(value))
             json_object_array_add(rows, row_json(value, qr_gateway_now(g)));
     }
     qr_json_add(o, "requests", rows);
--- a/src/gateway/qr_requests.h
+++ b/src/gateway/qr_requests.h
@@ -1,7 +1,8 @@
 /*
- * Requests that may crash engines, as a gateway learns of them: from calls of
- * its own that break off where an engine ends, from other gateways, and from
- * the store, where it stands which are held back. qr_suspects judges.
+ * Detects and shares requests that may crash engines. A gateway learns of these
+ * requests from its own calls that break off when an engine ends, from other
+ * gateways, and from the store, which lists the held requests. qr_suspects
+ * decides which requests are held.
  */
 #ifndef QR_REQUESTS_H
 #define QR_REQUESTS_H
@@ -11,60 +12,66 @@
 #include "net/qr_peer.h"
 #include "qr_suspects.h"
 
-/* On the metrics address: requests that are held back. */
+/* Path on the metrics address that lists the held requests. */
 #define QR_HELD_PATH "/held"
 
 typedef struct QRGateway QRGateway;
 
 typedef struct QRRequests {
     QRSuspects suspects;
-    GPtrArray *broken; /* BrokenRun *: runs of engines that may have ended */
-    GArray *answered;  /* QRFingerprint: to be told to other gateways */
-    QRFollower *follow;
-    QRWhole *write; /* to the store, under way, or NULL */
-    QRFingerprint writing;
-    bool reads;            /* the store goes on being read */
-    unsigned writing_mark; /* what is written: see qr_requests_store.c */
-    uint64_t write_ms;     /* when the store is written to next */
-    uint64_t sweep_ms;
+    GPtrArray *runs; /* EngineRun *: runs of engines that may have ended */
+    GArray *cleared; /* QRFingerprint: answers to be reported to gateways */
+    QRFollower *follower;
+    QRWhole *write;                /* write to the store in progress, or NULL */
+    QRFingerprint writing_request; /* the request that 'write' is about */
+    bool is_polling;               /* keeps reading the store */
+    unsigned writing_level;        /* record_level() of what is being written */
+    uint64_t next_write_ms;        /* earliest time of the next write */
+    uint64_t next_sweep_ms;
 } QRRequests;
 
-/* A call that broke off at an engine before its answer was whole. */
-typedef struct QRBrokenCall {
+/* A call whose connection to the engine broke before the answer was complete.
+ */
+typedef struct QRInterruptedCall {
     const char *id;
     const QRFingerprint *fingerprint;
     uint64_t sent_ms;
-    bool on_trial; /* taken over: it is over once that is known of the engine */
-} QRBrokenCall;
+    bool on_trial; /* the callee ends the trial once the engine's state is
+                      known */
+} QRInterruptedCall;
 
 void qr_requests_init(QRGateway *g);
-/* Begins to read what the store holds. */
+/* Starts reading the store's records of held requests. */
 void qr_requests_follow(QRGateway *g);
-/* The store may have lost what was stored there: it is written again. */
-void qr_requests_store_again(QRGateway *g, uint64_t epoch);
+/* Schedules new writes of the records that the store may have lost when it went
+   back to an earlier state and began 'epoch'. */
+void qr_requests_rewrite_lost(QRGateway *g, uint64_t epoch);
 /* To be called before the connections to the store are closed. */
 void qr_requests_unfollow(QRGateway *g);
 void qr_requests_clear(QRGateway *g);
 void qr_requests_tick(QRGateway *g, uint64_t now_ms);
-/* Whether any request is suspect: else nobody needs fingerprints. */
-bool qr_requests_suspects_any(const QRGateway *g);
-QRSuspicion qr_requests_ask(QRGateway *g, const QRFingerprint *f);
-/* For how long it is held back still; 0: it is not. */
-uint64_t qr_requests_held_ms(const QRGateway *g, const QRFingerprint *f);
-/* A sending of a request that is suspect begins, or is over. */
-void qr_requests_trial(QRGateway *g, const QRFingerprint *f);
-void qr_requests_trial_over(QRGateway *g, const QRFingerprint *f);
-void qr_requests_broke(QRGateway *g, const QREngine *engine,
-                       const QRBrokenCall *call);
-void qr_requests_answered(QRGateway *g, const QRFingerprint *f);
-/* The run of an engine that was known until now is over. */
-void qr_requests_engine_over(QRGateway *g, const char *engine);
-/* What another gateway knows. */
-void qr_requests_heard(QRGateway *g, const Qr__Fleet__Requests *words);
-/* Tells one that has just come all that is known. */
-void qr_requests_welcome(QRGateway *g, QRPeerConn *peer);
-/* Requests that are held back, or of which each try is told to all, as JSON.
-   The caller frees it. */
+/* Whether any request is suspect. If not, no fingerprint is needed. */
+bool qr_requests_has_suspects(const QRGateway *g);
+/* Returns whether the request may be sent now. */
+QRSuspicion qr_requests_check(QRGateway *g, const QRFingerprint *f);
+/* Returns how long the request stays held, in ms; 0: the request is not held.
+ */
+uint64_t qr_requests_hold_left_ms(const QRGateway *g, const QRFingerprint *f);
+/* A sending of a suspect begins, or is over. */
+void qr_requests_trial_started(QRGateway *g, const QRFingerprint *f);
+void qr_requests_trial_ended(QRGateway *g, const QRFingerprint *f);
+/* Checks whether the engine has ended, and records the call in that case. */
+void qr_requests_call_interrupted(QRGateway *g, const QREngine *engine,
+                                  const QRInterruptedCall *call);
+void qr_requests_note_answer(QRGateway *g, const QRFingerprint *f);
+/* The known run of the engine has ended. */
+void qr_requests_engine_ended(QRGateway *g, const char *engine);
+/* Takes in what another gateway reports. */
+void qr_requests_receive(QRGateway *g, const Qr__Fleet__Requests *list);
+/* Sends the known suspects to a gateway that has just connected. */
+void qr_requests_send_known(QRGateway *g, QRPeerConn *peer);
+/* Returns the suspects whose trials are reported to all gateways, with the held
+   ones, as JSON. The caller frees the text. */
 char *qr_requests_json(const QRGateway *g);
 
 #endif
--- a/src/gateway/qr_requests_parts.h
+++ b/src/gateway/qr_requests_parts.h
@@ -1,5 +1,5 @@
 /*
- * What the parts of qr_requests share. Included by qr_requests*.c only.
+ * Shared by the parts of qr_requests. Included by qr_requests*.c only.
  */
 #ifndef QR_REQUESTS_PARTS_H
 #define QR_REQUESTS_PARTS_H
@@ -10,24 +10,30 @@
 
 #include <string.h>
 
-/* Words for other gateways: Qr__Fleet__RequestWord *, owned. */
-GPtrArray *qr_request_words_new(void);
-Qr__Fleet__RequestWord *qr_request_word(GPtrArray *words,
-                                        const QRFingerprint *f);
-void qr_request_word_end(Qr__Fleet__RequestWord *word, const QRRunEnd *end,
-                         uint64_t now_ms);
-/* All that is known of a request. */
-void qr_request_word_all(GPtrArray *words, const QRSuspect *s, uint64_t now_ms);
-/* To every gateway that dialled us, at once. */
-void qr_requests_tell(QRGateway *g, GPtrArray *words);
-void qr_requests_tell_trial(QRGateway *g, const QRSuspect *s, bool over);
-void qr_requests_tell_answered(QRGateway *g);
-/* Logs what was judged to be held back, and tells it if we saw the last end. */
-void qr_requests_report(QRGateway *g);
-/* The store. */
+/* Messages to other gateways: Qr__Fleet__RequestWord *, owned by the array. */
+GPtrArray *qr_request_messages_new(void);
+/* Appends an empty message about a request. Returns the message, which the
+   array owns. */
+Qr__Fleet__RequestWord *qr_request_message_add(GPtrArray *messages,
+                                               const QRFingerprint *f);
+void qr_request_message_add_end(Qr__Fleet__RequestWord *msg,
+                                const QRRunEnd *end, uint64_t now_ms);
+/* Appends a message with all that is known of a suspect. */
+void qr_request_messages_add_suspect(GPtrArray *messages, const QRSuspect *s,
+                                     uint64_t now_ms);
+/* Sends the messages to every gateway that has connected to this one. */
+void qr_requests_broadcast(QRGateway *g, GPtrArray *messages);
+void qr_requests_broadcast_trial(QRGateway *g, const QRSuspect *s, bool over);
+void qr_requests_broadcast_answered(QRGateway *g);
+/* Logs the holds decided here. Broadcasts those whose last engine end this
+   gateway detected. */
+void qr_requests_report_held(QRGateway *g);
+
 void qr_requests_store_tick(QRGateway *g, uint64_t now_ms);
-/* What is known of it is to be written: at once if we saw its last end. */
-void qr_requests_store_due(QRGateway *g, QRSuspect *s);
-void qr_requests_store_cleared(QRGateway *g, const QRFingerprint *f);
+/* Schedules a write of the suspect's record to the store: at once if this
+   gateway detected the last engine end, otherwise after a delay. */
+void qr_requests_schedule_write(QRGateway *g, QRSuspect *s);
+/* Schedules an immediate write of the record of a request that was answered. */
+void qr_requests_schedule_clear(QRGateway *g, const QRFingerprint *f);
 
 #endif
--- a/src/gateway/qr_requests_store.c
+++ b/src/gateway/qr_requests_store.c
@@ -1,98 +1,101 @@
 /*
- * Requests that may crash engines: what lasts, in the store.
+ * Requests that may crash engines: records in the store.
  *
- * One record for each request that is held back, or has ended two engines in a
- * row: if all gateways are killed before the third, those that start go on from
- * there. Written by the gateway that saw the deciding end; by another one if
- * that does not say soon that it has. Read at the start; and while there is a
- * suspect, so that one that is cut off from the others learns what they know.
+ * There is one record for each request that is held or has ended two engines in
+ * consecutive tries: if all gateways are killed before the third try, the new
+ * ones continue the count from the record. The gateway that detected the
+ * deciding engine end writes the record; another gateway does if the first does
+ * not soon report the write. A gateway reads the records when it starts, and
+ * after recent tries of a suspect, since a gateway that is cut off from the
+ * others learns their findings from the store.
  */
 #include "qr_requests_parts.h"
 
 #include "base/qr_json.h"
 
-#define READ_MS 500
-#define WRITE_AGAIN_MS 1000
-#define CONNECT_MS 400
-/* Ends of so long ago are no reason to read the store any more. */
-#define HOT_MS 10000
-/* Records of longer ago are passed over: of what is held, and of tries. */
-#define FORGET_S 86400
-#define FORGET_TRIES_S 600
-#define TRIES_STORED 2
-#define HOLDS_MOST 16
-/* Before one that did not see the deciding end itself writes in place of one
-   that did; then by turns. */
-#define OTHERS_MS 2000
-#define OTHERS_SPREAD_MS 4000
-
-/* What the store is to know of a request, as a number that differs with it; 0:
-   nothing. */
-static unsigned mark_of(const QRSuspect *s)
+#define POLL_INTERVAL_MS 500
+#define WRITE_RETRY_MS 1000
+#define CONNECT_TIMEOUT_MS 400
+/* The store is read for this long after the last report on a suspect. */
+#define POLL_AFTER_END_MS 10000
+/* Older records are ignored: those of holds, and those of tries only. */
+#define HELD_MAX_AGE_S 86400
+#define TRIES_MAX_AGE_S 600
+#define MIN_STORED_TRIES 2
+#define MAX_HOLDS 16
+/* Delay before a gateway that did not detect the deciding end writes the
+   record, and the range over which these gateways spread their writes. */
+#define BACKUP_WRITE_DELAY_MS 2000
+#define BACKUP_WRITE_SPREAD_MS 4000
+
+/* Returns a number that identifies the state to be stored for a suspect; 0: no
+   state. */
+static unsigned record_level(const QRSuspect *s)
 {
-    if (s->holds > 0)
-        return TRIES_STORED + s->holds;
-    return qr_suspect_tries(s) >= TRIES_STORED ? TRIES_STORED : 0;
+    if (s->hold_count > 0)
+        return MIN_STORED_TRIES + s->hold_count;
+    return qr_suspect_tries(s) >= MIN_STORED_TRIES ? MIN_STORED_TRIES : 0;
 }
 
-static char *row_text(const QRSuspect *s, uint64_t now_ms)
+static char *record_text(const QRSuspect *s, uint64_t now_ms)
 {
     g_autoptr(json_object) o = json_object_new_object();
     uint64_t left_s = (MAX(s->held_until_ms, now_ms) - now_ms) / 1000;
 
-    if (mark_of(s) == 0)
+    if (record_level(s) == 0)
         return g_strdup("");
     qr_json_int(o, "held_until_s", (int64_t)(qr_wall_s() + left_s));
-    qr_json_int(o, "holds", s->holds);
+    qr_json_int(o, "holds", s->hold_count);
     qr_json_int(o, "tries", qr_suspect_tries(s));
     qr_json_int(o, "engines_ended", s->ends.total);
     return qr_json_text(o);
 }
 
-static void note_answer_epoch(QRGateway *g, const QRWholeAnswer *a)
+static void note_store_epoch(QRGateway *g, const QRWholeAnswer *a)
 {
     g_auto(QRFindings) f = {0};
 
     qr_findings_init(&f, g->set->store);
     qr_gateway_note_epoch(g, g->platform->parse_epoch(a->headers, &f));
     if (qr_findings_count(&f) > 0)
-        qr_logf(QR_LEVEL_WARN, "store", "answer to a record finding=%s",
+        qr_logf(QR_LEVEL_WARN, "store",
+                "unreadable answer to a write finding=%s",
                 (const char *)f.lines->pdata[0]);
 }
 
-static void write_done(void *owner, unsigned ref, const QRWholeAnswer *a)
+static void handle_written(void *owner, unsigned ref, const QRWholeAnswer *a)
 {
     QRGateway *g = owner;
     QRRequests *q = &g->requests;
-    QRSuspect *s = qr_suspects_get(&q->suspects, &q->writing);
-    g_autoptr(GPtrArray) words = qr_request_words_new();
+    QRSuspect *s = qr_suspects_get(&q->suspects, &q->writing_request);
+    g_autoptr(GPtrArray) messages = qr_request_messages_new();
     uint64_t now = qr_gateway_now(g);
     char text[QR_FINGERPRINT_HEX];
-    bool done = a->status == 200;
+    bool stored = a->status == 200;
     uint64_t rest = qr_platform_rest(g->platform, a->status, a->headers);
 
     (void)ref;
     q->write = NULL;
-    note_answer_epoch(g, a);
-    q->write_ms = done ? 0 : now + MAX(WRITE_AGAIN_MS, rest);
-    qr_fingerprint_text(&q->writing, text);
-    qr_logf(done ? QR_LEVEL_INFO : QR_LEVEL_WARN, "requests",
+    note_store_epoch(g, a);
+    q->next_write_ms = stored ? 0 : now + MAX(WRITE_RETRY_MS, rest);
+    qr_fingerprint_text(&q->writing_request, text);
+    qr_logf(stored ? QR_LEVEL_INFO : QR_LEVEL_WARN, "requests",
             "%s request=%s mark=%u status=%u why=%s",
-            done ? "stored" : "not stored", text, q->writing_mark, a->status,
+            stored ? "stored" : "not stored", text, q->writing_level, a->status,
             a->status ? "answered" : a->why);
-    if (!s || mark_of(s) != q->writing_mark)
-        return; /* what is to be stored has changed meanwhile */
-    s->store_due_ms = done ? 0 : q->write_ms;
-    s->stored = done && q->writing_mark > 0;
+    if (!s || record_level(s) != q->writing_level)
+        return; /* the state changed during the write */
+    s->write_due_ms = stored ? 0 : q->next_write_ms;
+    s->stored = stored && q->writing_level > 0;
     s->stored_epoch = g->store_epoch;
     if (s->stored) {
-        qr_request_word_all(words, s, now);
-        qr_requests_tell(g, words);
+        qr_request_messages_add_suspect(messages, s, now);
+        qr_requests_broadcast(g, messages);
     }
 }
 
-static void put(QRGateway *g, const char *key, const char *value,
-                QRWholeDone done)
+static void post_record(QRGateway *g, const char *key, const char *value,
+                        QRWholeDone done)
 {
     g_autoptr(GBytes) bytes = g_bytes_new(value, strlen(value));
     g_autoptr(GBytes) body = NULL;
@@ -102,7 +105,7 @@
                         .method = "POST",
                         .path = path,
                         .content_type = "application/octet-stream",
-                        .connect_ms = CONNECT_MS,
+                        .connect_ms = CONNECT_TIMEOUT_MS,
                         .timeout_ms = QR_STORE_TIMEOUT_MS};
     gsize len;
 
@@ -111,73 +114,76 @@
     g->requests.write = qr_whole_send(g->to_store, &r, done, g, 0);
 }
 
-static void write_row(QRGateway *g, const QRSuspect *s)
+static void write_record(QRGateway *g, const QRSuspect *s)
 {
     QRRequests *q = &g->requests;
     char key[QR_FINGERPRINT_HEX];
-    g_autofree char *value = row_text(s, qr_gateway_now(g));
+    g_autofree char *value = record_text(s, qr_gateway_now(g));
 
-    q->writing = s->fingerprint;
-    q->writing_mark = mark_of(s);
+    q->writing_request = s->fingerprint;
+    q->writing_level = record_level(s);
     qr_fingerprint_text(&s->fingerprint, key);
-    put(g, key, value, write_done);
+    post_record(g, key, value, handle_written);
 }
 
-void qr_requests_store_cleared(QRGateway *g, const QRFingerprint *f)
+void qr_requests_schedule_clear(QRGateway *g, const QRFingerprint *f)
 {
     QRSuspect *s = qr_suspects_get(&g->requests.suspects, f);
 
     if (s)
-        s->store_due_ms = MAX(qr_gateway_now(g), 1);
+        s->write_due_ms = MAX(qr_gateway_now(g), 1);
 }
 
-void qr_requests_store_due(QRGateway *g, QRSuspect *s)
+void qr_requests_schedule_write(QRGateway *g, QRSuspect *s)
 {
     uint64_t now = qr_gateway_now(g);
 
-    s->store_due_ms = MAX(now, 1);
-    if (!qr_suspect_is_own(s))
-        s->store_due_ms +=
-            OTHERS_MS + qr_hash_str(g->set->host, now) % OTHERS_SPREAD_MS;
+    s->write_due_ms = MAX(now, 1);
+    if (!qr_suspect_last_end_is_local(s))
+        s->write_due_ms +=
+            BACKUP_WRITE_DELAY_MS +
+            qr_hash_str(g->set->host, now) % BACKUP_WRITE_SPREAD_MS;
 }
 
-/* Some request ended two engines lately, and is not held back yet. */
-static bool is_hot(const QRSuspect *s, uint64_t now_ms)
+/* Whether the suspect ended two engines recently and is not held yet. */
+static bool awaits_next_try(const QRSuspect *s, uint64_t now_ms)
 {
-    return s->holds == 0 && now_ms < s->news_ms + HOT_MS &&
-           qr_suspect_tries(s) >= TRIES_STORED;
+    return s->hold_count == 0 && now_ms < s->updated_ms + POLL_AFTER_END_MS &&
+           qr_suspect_tries(s) >= MIN_STORED_TRIES;
 }
 
 void qr_requests_store_tick(QRGateway *g, uint64_t now_ms)
 {
     QRRequests *q = &g->requests;
     const QRSuspect *due = NULL;
-    bool hot = false;
+    bool should_poll = false;
     GHashTableIter it;
     void *value;
 
-    qr_follower_tick(q->follow, now_ms);
+    qr_follower_tick(q->follower, now_ms);
     if (qr_suspects_is_empty(&q->suspects))
         return;
     g_hash_table_iter_init(&it, q->suspects.rows);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         QRSuspect *s = value;
 
-        hot |= is_hot(s, now_ms);
-        if (!s->stored && s->store_due_ms == 0 && mark_of(s) == TRIES_STORED)
-            qr_requests_store_due(g, s);
-        if (s->store_due_ms && now_ms >= s->store_due_ms)
+        should_poll |= awaits_next_try(s, now_ms);
+        if (!s->stored && s->write_due_ms == 0 &&
+            record_level(s) == MIN_STORED_TRIES)
+            qr_requests_schedule_write(g, s);
+        if (s->write_due_ms && now_ms >= s->write_due_ms)
             due = s;
     }
-    if (due && !q->write && now_ms >= q->write_ms)
-        write_row(g, due);
-    if (hot != q->reads && qr_follower_next(q->follow).offset > 0) {
-        q->reads = hot;
-        qr_follower_pause(q->follow, !hot);
+    if (due && !q->write && now_ms >= q->next_write_ms)
+        write_record(g, due);
+    if (should_poll != q->is_polling &&
+        qr_follower_next(q->follower).offset > 0) {
+        q->is_polling = should_poll;
+        qr_follower_pause(q->follower, !should_poll);
     }
 }
 
-void qr_requests_store_again(QRGateway *g, uint64_t epoch)
+void qr_requests_rewrite_lost(QRGateway *g, uint64_t epoch)
 {
     GHashTableIter it;
     void *value;
@@ -187,18 +193,20 @@
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         QRSuspect *s = value;
 
-        /* who wrote it in this epoch may have told us before we heard of it */
+        /* the gateway that wrote the record in this epoch may have reported the
+           write before this gateway learned of the epoch */
         if (!s->stored || s->stored_epoch >= epoch)
             continue;
         s->stored = false;
-        qr_requests_store_due(g, s);
+        qr_requests_schedule_write(g, s);
         n++;
     }
     if (n > 0)
-        qr_logf(QR_LEVEL_INFO, "requests", "to be stored again count=%u", n);
+        qr_logf(QR_LEVEL_INFO, "requests",
+                "records to be written to the store again count=%u", n);
 }
 
-static void held_record(void *owner, const QRStoreRecord *r)
+static void handle_record(void *owner, const QRStoreRecord *r)
 {
     QRGateway *g = owner;
     QRSuspects *t = &g->requests.suspects;
@@ -211,8 +219,9 @@
     gsize len;
     const char *text = g_bytes_get_data(r->value, &len);
 
+    /* the gateway that clears a record reports that to the others */
     if (len == 0)
-        return; /* whoever clears one tells the others */
+        return;
     qr_findings_init(&findings, r->key);
     o = qr_json_parse(text, len, &findings);
     if (!o || !json_object_is_type(o, json_type_object) ||
@@ -222,67 +231,67 @@
         return;
     }
     left_s = qr_json_get_int(o, "held_until_s") - (int64_t)qr_wall_s();
-    holds = CLAMP(qr_json_get_int(o, "holds"), 0, HOLDS_MOST);
+    holds = CLAMP(qr_json_get_int(o, "holds"), 0, MAX_HOLDS);
     s = qr_suspects_get(t, &f);
-    if (left_s < (holds ? -FORGET_S : -FORGET_TRIES_S) ||
+    if (left_s < (holds ? -HELD_MAX_AGE_S : -TRIES_MAX_AGE_S) ||
         (s && s->answered_ms > 0))
         return;
-    left_s = CLAMP(left_s, 0, QR_HOLD_MOST_MS / 1000);
+    left_s = CLAMP(left_s, 0, QR_MAX_HOLD_MS / 1000);
     if (holds > 0)
         s = qr_suspects_hold(t, &f, now + (uint64_t)left_s * 1000,
                              (unsigned)holds, now);
     else
-        s = qr_suspects_tried(t, &f, TRIES_STORED, now);
+        s = qr_suspects_add_stored_tries(t, &f, MIN_STORED_TRIES, now);
     s->stored = true;
     s->stored_epoch = r->position.epoch;
-    s->store_due_ms = 0;
+    s->write_due_ms = 0;
     qr_logf(
         QR_LEVEL_WARN, "requests",
         "read held request=%s for_s=%d times=%u tries=%u " QR_POSITION_FORMAT,
-        r->key, (int)left_s, s->holds, qr_suspect_tries(s),
+        r->key, (int)left_s, s->hold_count, qr_suspect_tries(s),
         QR_POSITION_ARGS(r->position));
 }
 
-/* All is known; the rest is told by others. */
-static void held_listed(void *owner, GHashTable *keys)
+/* All records were read. Further changes are reported by other gateways. */
+static void handle_listed(void *owner, GHashTable *keys)
 {
     QRGateway *g = owner;
 
     (void)keys;
-    if (!g->requests.reads)
-        qr_follower_pause(g->requests.follow, true);
+    if (!g->requests.is_polling)
+        qr_follower_pause(g->requests.follower, true);
 }
 
-static void held_reached(void *owner, bool reached, const char *why)
+static void handle_reachability(void *owner, bool reached, const char *why)
 {
     (void)owner;
     qr_logf(reached ? QR_LEVEL_INFO : QR_LEVEL_WARN, "store",
             "%s topic=held why=%s", reached ? "reached" : "lost", why);
 }
 
-static void held_went_back(void *owner, uint64_t epoch)
+static void handle_rollback(void *owner, uint64_t epoch)
 {
     qr_gateway_note_epoch(owner, epoch);
 }
 
-static const QRFollowerHandlers handlers = {held_record, held_went_back,
-                                            held_listed, held_reached};
+static const QRFollowerHandlers handlers = {handle_record, handle_rollback,
+                                            handle_listed, handle_reachability};
 
 void qr_requests_follow(QRGateway *g)
 {
     QRFollowerOptions held = {
         .topic = QR_TOPIC_HELD,
         .address = g->set->store,
-        .interval_ms = READ_MS,
+        .interval_ms = POLL_INTERVAL_MS,
         .timeout_ms = QR_STORE_TIMEOUT_MS,
     };
 
-    g->requests.follow =
+    g->requests.follower =
         qr_follower_new(g->to_store, g->platform, &held, &handlers, g);
 }
 
 void qr_requests_unfollow(QRGateway *g)
 {
     qr_whole_cancel(g->requests.write);
-    qr_follower_free(g->requests.follow);
+    qr_follower_free(g->requests.follower);
 }
--- a/src/gateway/qr_requests_words.c
+++ b/src/gateway/qr_requests_words.c
@@ -1,185 +1,191 @@
 /*
- * Requests that may crash engines: what gateways tell one another.
+ * Requests that may crash engines: messages between gateways.
  *
- * Ends are told at once and to all, since the next try comes at any gateway.
- * Times go as ages: clocks differ. What is told twice, late or in another order
- * adds up to the same.
+ * Engine ends are reported to all gateways at once, since the next try can
+ * arrive at any of them. Times are sent as ages because clocks differ.
+ * Messages that arrive twice, late or in another order lead to the same state.
  */
 #include "qr_requests_parts.h"
 
-#define TRIAL_LEASE_MS                                                         \
-    3000                /* a try that tells no end is no longer waited for */
-#define WELCOME_MOST 64 /* rows told to one that has just come */
+/* Other gateways wait this long for the end of a trial. */
+#define TRIAL_LEASE_MS 3000
+#define MAX_INITIAL_MESSAGES 64 /* to a gateway that has just connected */
 
-static void word_free(void *p)
+static void message_free(void *p)
 {
-    Qr__Fleet__RequestWord *w = p;
+    Qr__Fleet__RequestWord *msg = p;
 
-    for (size_t i = 0; i < w->n_ends; i++)
-        g_free(w->ends[i]);
-    g_free(w->ends);
-    g_free(w->fingerprint.data);
-    g_free(w);
+    for (size_t i = 0; i < msg->n_ends; i++)
+        g_free(msg->ends[i]);
+    g_free(msg->ends);
+    g_free(msg->fingerprint.data);
+    g_free(msg);
 }
 
-GPtrArray *qr_request_words_new(void)
+GPtrArray *qr_request_messages_new(void)
 {
-    return g_ptr_array_new_with_free_func(word_free);
+    return g_ptr_array_new_with_free_func(message_free);
 }
 
-Qr__Fleet__RequestWord *qr_request_word(GPtrArray *words,
-                                        const QRFingerprint *f)
+Qr__Fleet__RequestWord *qr_request_message_add(GPtrArray *messages,
+                                               const QRFingerprint *f)
 {
-    Qr__Fleet__RequestWord *w = g_new(Qr__Fleet__RequestWord, 1);
-
-    qr__fleet__request_word__init(w);
-    w->fingerprint.len = sizeof(f->bytes);
-    w->fingerprint.data = g_memdup2(f->bytes, sizeof(f->bytes));
-    w->ends = g_new0(Qr__Fleet__RequestEnd *, QR_RUN_ENDS);
-    g_ptr_array_add(words, w);
-    return w;
+    Qr__Fleet__RequestWord *msg = g_new(Qr__Fleet__RequestWord, 1);
+
+    qr__fleet__request_word__init(msg);
+    msg->fingerprint.len = sizeof(f->bytes);
+    msg->fingerprint.data = g_memdup2(f->bytes, sizeof(f->bytes));
+    msg->ends = g_new0(Qr__Fleet__RequestEnd *, QR_MAX_RUN_ENDS);
+    g_ptr_array_add(messages, msg);
+    return msg;
 }
 
-static uint32_t age(uint64_t now_ms, uint64_t then_ms)
+static uint32_t age_ms(uint64_t now_ms, uint64_t then_ms)
 {
     return (uint32_t)MIN(now_ms - MIN(then_ms, now_ms), G_MAXUINT32);
 }
 
-void qr_request_word_end(Qr__Fleet__RequestWord *word, const QRRunEnd *end,
-                         uint64_t now_ms)
+void qr_request_message_add_end(Qr__Fleet__RequestWord *msg,
+                                const QRRunEnd *end, uint64_t now_ms)
 {
     Qr__Fleet__RequestEnd *e;
 
-    if (word->n_ends == QR_RUN_ENDS)
+    if (msg->n_ends == QR_MAX_RUN_ENDS)
         return;
     e = g_new(Qr__Fleet__RequestEnd, 1);
     qr__fleet__request_end__init(e);
-    e->engine = end->engine;
+    e->engine = end->engine_hash;
     e->born_ms = end->born_ms;
-    e->sent_ago_ms = age(now_ms, end->sent_ms);
-    e->ended_ago_ms = age(now_ms, end->ended_ms);
-    word->ends[word->n_ends++] = e;
+    e->sent_ago_ms = age_ms(now_ms, end->sent_ms);
+    e->ended_ago_ms = age_ms(now_ms, end->ended_ms);
+    msg->ends[msg->n_ends++] = e;
 }
 
-static void send_words(QRPeerConn *peer, GPtrArray *words)
+static void send_messages(QRPeerConn *peer, GPtrArray *messages)
 {
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__Requests list = QR__FLEET__REQUESTS__INIT;
 
-    list.words = (Qr__Fleet__RequestWord **)words->pdata;
-    list.n_words = words->len;
+    list.words = (Qr__Fleet__RequestWord **)messages->pdata;
+    list.n_words = messages->len;
     frame.body_case = QR__FLEET__FRAME__BODY_REQUESTS;
     frame.requests = &list;
     qr_peer_send(peer, &frame);
 }
 
-void qr_requests_tell(QRGateway *g, GPtrArray *words)
+void qr_requests_broadcast(QRGateway *g, GPtrArray *messages)
 {
-    if (words->len == 0)
+    if (messages->len == 0)
         return;
     for (unsigned i = 0; i < g->followers->len; i++) {
         const QRFleetMember *to = qr_peer_data(g->followers->pdata[i]);
 
         if (to && strcmp(to->role, QR_ROLE_GATEWAY) == 0)
-            send_words(g->followers->pdata[i], words);
+            send_messages(g->followers->pdata[i], messages);
     }
 }
 
-void qr_requests_tell_trial(QRGateway *g, const QRSuspect *s, bool over)
+void qr_requests_broadcast_trial(QRGateway *g, const QRSuspect *s, bool over)
 {
-    g_autoptr(GPtrArray) words = qr_request_words_new();
-    Qr__Fleet__RequestWord *w = qr_request_word(words, &s->fingerprint);
+    g_autoptr(GPtrArray) messages = qr_request_messages_new();
+    Qr__Fleet__RequestWord *msg =
+        qr_request_message_add(messages, &s->fingerprint);
 
-    w->over = over;
-    w->under_way_ms = over ? 0 : TRIAL_LEASE_MS;
-    qr_requests_tell(g, words);
+    msg->over = over;
+    msg->under_way_ms = over ? 0 : TRIAL_LEASE_MS;
+    qr_requests_broadcast(g, messages);
 }
 
-void qr_requests_tell_answered(QRGateway *g)
+void qr_requests_broadcast_answered(QRGateway *g)
 {
-    GArray *answered = g->requests.answered;
-    g_autoptr(GPtrArray) words = qr_request_words_new();
+    GArray *cleared = g->requests.cleared;
+    g_autoptr(GPtrArray) messages = qr_request_messages_new();
 
-    for (unsigned i = 0; i < answered->len; i++) {
-        const QRFingerprint *f = &g_array_index(answered, QRFingerprint, i);
+    for (unsigned i = 0; i < cleared->len; i++) {
+        const QRFingerprint *f = &g_array_index(cleared, QRFingerprint, i);
         const QRSuspect *s = qr_suspects_get(&g->requests.suspects, f);
 
         if (s && s->answered_ms)
-            qr_request_word(words, f)->answered_ago_ms =
-                1 + age(qr_gateway_now(g), s->answered_ms);
+            qr_request_message_add(messages, f)->answered_ago_ms =
+                1 + age_ms(qr_gateway_now(g), s->answered_ms);
     }
-    g_array_set_size(answered, 0);
-    qr_requests_tell(g, words);
+    g_array_set_size(cleared, 0);
+    qr_requests_broadcast(g, messages);
 }
 
-void qr_request_word_all(GPtrArray *words, const QRSuspect *s, uint64_t now_ms)
+void qr_request_messages_add_suspect(GPtrArray *messages, const QRSuspect *s,
+                                     uint64_t now_ms)
 {
-    Qr__Fleet__RequestWord *w = qr_request_word(words, &s->fingerprint);
+    Qr__Fleet__RequestWord *msg =
+        qr_request_message_add(messages, &s->fingerprint);
 
     for (unsigned i = 0; i < s->ends.count; i++)
-        qr_request_word_end(w, &s->ends.rows[i], now_ms);
-    w->held_ms =
+        qr_request_message_add_end(msg, &s->ends.rows[i], now_ms);
+    msg->held_ms =
         s->held_until_ms > now_ms ? (uint32_t)(s->held_until_ms - now_ms) : 0;
-    w->holds = s->holds;
-    w->stored = s->stored;
-    w->stored_epoch = s->stored_epoch;
+    msg->holds = s->hold_count;
+    msg->stored = s->stored;
+    msg->stored_epoch = s->stored_epoch;
 }
 
-void qr_requests_report(QRGateway *g)
+void qr_requests_report_held(QRGateway *g)
 {
     uint64_t now = qr_gateway_now(g);
-    g_autoptr(GPtrArray) words = qr_request_words_new();
+    g_autoptr(GPtrArray) messages = qr_request_messages_new();
     QRSuspect *s;
 
-    while ((s = qr_suspects_next_news(&g->requests.suspects))) {
+    while ((s = qr_suspects_next_unreported(&g->requests.suspects))) {
         char text[QR_FINGERPRINT_HEX];
-        bool own = qr_suspect_is_own(s);
+        bool own = qr_suspect_last_end_is_local(s);
 
         qr_fingerprint_text(&s->fingerprint, text);
         qr_relay_count(g, QR_COUNTER_requests_held);
         qr_logf(QR_LEVEL_WARN, "requests",
                 "held request=%s for_ms=%" G_GUINT64_FORMAT
                 " times=%u engines_ended=%u seen_here=%d",
-                text, s->held_until_ms - now, s->holds, s->ends.total, own);
-        qr_requests_store_due(g, s);
+                text, s->held_until_ms - now, s->hold_count, s->ends.total,
+                own);
+        qr_requests_schedule_write(g, s);
         if (own)
-            qr_request_word_all(words, s, now);
+            qr_request_messages_add_suspect(messages, s, now);
     }
-    qr_requests_tell(g, words);
+    qr_requests_broadcast(g, messages);
 }
 
-void qr_requests_welcome(QRGateway *g, QRPeerConn *peer)
+void qr_requests_send_known(QRGateway *g, QRPeerConn *peer)
 {
     uint64_t now = qr_gateway_now(g);
-    g_autoptr(GPtrArray) words = qr_request_words_new();
+    g_autoptr(GPtrArray) messages = qr_request_messages_new();
     GHashTableIter it;
     void *value;
 
     g_hash_table_iter_init(&it, g->requests.suspects.rows);
-    while (words->len < WELCOME_MOST &&
+    while (messages->len < MAX_INITIAL_MESSAGES &&
            g_hash_table_iter_next(&it, NULL, &value)) {
         const QRSuspect *s = value;
 
-        if (s->holds > 0 || qr_suspect_tries(s) > 0)
-            qr_request_word_all(words, s, now);
+        if (s->hold_count > 0 || qr_suspect_tries(s) > 0)
+            qr_request_messages_add_suspect(messages, s, now);
     }
-    if (words->len > 0)
-        send_words(peer, words);
+    if (messages->len > 0)
+        send_messages(peer, messages);
 }
 
-/* Whether we know of an answer that came after all ends that were told. */
-static bool is_outdated(const QRSuspect *s, const Qr__Fleet__RequestWord *w,
-                        uint64_t base_ms)
+/* Whether an answer is known that is newer than all ends in the message. */
+static bool is_outdated(const QRSuspect *s, const Qr__Fleet__RequestWord *msg,
+                        uint64_t msg_sent_ms)
 {
     uint64_t newest = 0;
 
-    for (size_t i = 0; i < w->n_ends; i++)
-        newest = MAX(newest, base_ms - MIN(base_ms, w->ends[i]->ended_ago_ms));
+    for (size_t i = 0; i < msg->n_ends; i++)
+        newest = MAX(newest, msg_sent_ms -
+                                 MIN(msg_sent_ms, msg->ends[i]->ended_ago_ms));
     return s && s->answered_ms > 0 && s->answered_ms >= newest;
 }
 
-static void hear_held(QRGateway *g, const QRFingerprint *f,
-                      const Qr__Fleet__RequestWord *w, uint64_t base_ms)
+static void receive_hold(QRGateway *g, const QRFingerprint *f,
+                         const Qr__Fleet__RequestWord *msg,
+                         uint64_t msg_sent_ms)
 {
     QRSuspects *t = &g->requests.suspects;
     QRSuspect *s = qr_suspects_get(t, f);
@@ -187,75 +193,80 @@
     char text[QR_FINGERPRINT_HEX];
     bool was_held = s && qr_suspect_is_held(s, now);
 
-    if (is_outdated(s, w, base_ms)) { /* who told it does not know that yet */
-        g_array_append_val(g->requests.answered, *f);
+    /* the sender does not know of the answer yet */
+    if (is_outdated(s, msg, msg_sent_ms)) {
+        g_array_append_val(g->requests.cleared, *f);
         return;
     }
-    qr_suspects_hold(t, f, base_ms + w->held_ms, w->holds, now);
+    qr_suspects_hold(t, f, msg_sent_ms + msg->held_ms, msg->holds, now);
     qr_fingerprint_text(f, text);
     if (!was_held)
         qr_logf(QR_LEVEL_WARN, "requests",
-                "told held request=%s for_ms=%u times=%u stored=%d", text,
-                w->held_ms, w->holds, w->stored);
+                "peer reports held request=%s for_ms=%u times=%u stored=%d",
+                text, msg->held_ms, msg->holds, msg->stored);
 }
 
-static void hear_ends(QRGateway *g, const QRFingerprint *f,
-                      const Qr__Fleet__RequestWord *w, uint64_t base_ms)
+static void receive_ends(QRGateway *g, const QRFingerprint *f,
+                         const Qr__Fleet__RequestWord *msg,
+                         uint64_t msg_sent_ms)
 {
-    for (size_t i = 0; i < w->n_ends; i++) {
-        const Qr__Fleet__RequestEnd *e = w->ends[i];
+    for (size_t i = 0; i < msg->n_ends; i++) {
+        const Qr__Fleet__RequestEnd *e = msg->ends[i];
         QRRunEnd end = {e->engine, e->born_ms,
-                        base_ms - MIN(base_ms, e->sent_ago_ms),
-                        base_ms - MIN(base_ms, e->ended_ago_ms)};
+                        msg_sent_ms - MIN(msg_sent_ms, e->sent_ago_ms),
+                        msg_sent_ms - MIN(msg_sent_ms, e->ended_ago_ms)};
 
-        qr_suspects_ended(&g->requests.suspects, f, &end, qr_gateway_now(g));
+        qr_suspects_add_end(&g->requests.suspects, f, &end, qr_gateway_now(g));
     }
 }
 
-/* What was stored in an earlier epoch may be lost. */
-static void hear_stored(QRSuspect *s, uint64_t epoch, uint64_t own_epoch)
+/* Ignores writes of an earlier epoch of the store, which may be lost. */
+static void receive_stored(QRSuspect *s, uint64_t epoch, uint64_t own_epoch)
 {
     if (epoch < own_epoch)
         return;
     s->stored = true;
     s->stored_epoch = epoch;
-    s->store_due_ms = 0;
+    s->write_due_ms = 0;
 }
 
-/* 'base_ms': when the word was sent, at the earliest. */
-static void hear(QRGateway *g, const Qr__Fleet__RequestWord *w,
-                 uint64_t base_ms)
+/* 'msg_sent_ms': the earliest time at which the message can have been sent. */
+static void receive_message(QRGateway *g, const Qr__Fleet__RequestWord *msg,
+                            uint64_t msg_sent_ms)
 {
     QRSuspects *t = &g->requests.suspects;
     QRFingerprint f;
     QRSuspect *s;
 
-    if (w->fingerprint.len != sizeof(f.bytes))
+    if (msg->fingerprint.len != sizeof(f.bytes))
         return;
-    memcpy(f.bytes, w->fingerprint.data, sizeof(f.bytes));
-    hear_ends(g, &f, w, base_ms);
-    if (w->holds > 0)
-        hear_held(g, &f, w, base_ms);
-    if (w->answered_ago_ms > 0)
-        qr_suspects_answered(t, &f, base_ms - MIN(base_ms, w->answered_ago_ms));
+    memcpy(f.bytes, msg->fingerprint.data, sizeof(f.bytes));
+    receive_ends(g, &f, msg, msg_sent_ms);
+    if (msg->holds > 0)
+        receive_hold(g, &f, msg, msg_sent_ms);
+    if (msg->answered_ago_ms > 0)
+        qr_suspects_note_answer(
+            t, &f, msg_sent_ms - MIN(msg_sent_ms, msg->answered_ago_ms));
     s = qr_suspects_get(t, &f);
-    if (s && w->stored && s->holds == w->holds)
-        hear_stored(s, w->stored_epoch ? w->stored_epoch : g->store_epoch,
-                    g->store_epoch);
-    if (s && w->under_way_ms > 0)
-        s->others_until_ms = MAX(s->others_until_ms, base_ms + w->under_way_ms);
-    if (s && w->over)
-        s->others_until_ms = 0;
+    if (s && msg->stored && s->hold_count == msg->holds)
+        receive_stored(s,
+                       msg->stored_epoch ? msg->stored_epoch : g->store_epoch,
+                       g->store_epoch);
+    if (s && msg->under_way_ms > 0)
+        s->remote_trial_until_ms =
+            MAX(s->remote_trial_until_ms, msg_sent_ms + msg->under_way_ms);
+    if (s && msg->over)
+        s->remote_trial_until_ms = 0;
 }
 
-void qr_requests_heard(QRGateway *g, const Qr__Fleet__Requests *words)
+void qr_requests_receive(QRGateway *g, const Qr__Fleet__Requests *list)
 {
-    uint64_t base = qr_gateway_sent_ms(g);
+    uint64_t msg_sent_ms = qr_gateway_sent_ms(g);
     bool ends = false;
 
-    for (size_t i = 0; i < words->n_words; i++) {
-        hear(g, words->words[i], base);
-        ends |= words->words[i]->n_ends > 0;
+    for (size_t i = 0; i < list->n_words; i++) {
+        receive_message(g, list->words[i], msg_sent_ms);
+        ends |= list->words[i]->n_ends > 0;
     }
     if (ends)
         qr_relay_join_trials(g);
--- a/src/gateway/qr_run_ends.c
+++ b/src/gateway/qr_run_ends.c
@@ -1,26 +1,26 @@
 /*
- * Ends of runs of engines at which one request was at work. What is counted
- * does not depend on the order in which they are told, nor on how often.
+ * The engine ends that one request is associated with. The count of tries does
+ * not depend on the order in which ends are reported, nor on duplicates.
  */
 #include "qr_run_ends.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Two words of ends of an engine that does not say when it started: within so
-   long they are of the same end. No engine is back sooner. */
+/* If an engine does not report its start time, two reported ends within this
+   time are taken for the same end. No engine restarts faster. */
 #define SAME_END_MS 1000
 
 static bool is_same_run(const QRRunEnd *a, const QRRunEnd *b)
 {
-    uint64_t apart = a->ended_ms > b->ended_ms ? a->ended_ms - b->ended_ms
-                                               : b->ended_ms - a->ended_ms;
+    uint64_t gap_ms = a->ended_ms > b->ended_ms ? a->ended_ms - b->ended_ms
+                                                : b->ended_ms - a->ended_ms;
 
-    return a->engine == b->engine && a->born_ms == b->born_ms &&
-           (a->born_ms != 0 || apart < SAME_END_MS);
+    return a->engine_hash == b->engine_hash && a->born_ms == b->born_ms &&
+           (a->born_ms != 0 || gap_ms < SAME_END_MS);
 }
 
-bool qr_run_ends_have(const QRRunEnds *ends, const QRRunEnd *end)
+bool qr_run_ends_contain(const QRRunEnds *ends, const QRRunEnd *end)
 {
     for (unsigned i = 0; i < ends->count; i++) {
         if (is_same_run(&ends->rows[i], end))
@@ -33,8 +33,8 @@
 {
     unsigned oldest = 0;
 
-    /* of several sendings to the same run the first one counts: it is the one
-       that may have ended it */
+    /* if the request was sent to the same run several times, only the first
+       counts, since that one may have ended the run */
     for (unsigned i = 0; i < ends->count; i++) {
         if (!is_same_run(&ends->rows[i], end))
             continue;
@@ -43,7 +43,7 @@
         return;
     }
     ends->total++;
-    if (ends->count < QR_RUN_ENDS) {
+    if (ends->count < QR_MAX_RUN_ENDS) {
         ends->rows[ends->count++] = *end;
         return;
     }
@@ -62,7 +62,7 @@
     }
 }
 
-void qr_run_ends_forget(QRRunEnds *ends, uint64_t until_ms)
+void qr_run_ends_remove_until(QRRunEnds *ends, uint64_t until_ms)
 {
     for (unsigned i = ends->count; i > 0; i--) {
         if (ends->rows[i - 1].ended_ms <= until_ms)
@@ -79,37 +79,39 @@
     return last;
 }
 
-static int by_end(const void *a, const void *b)
+static int compare_ended_ms(const void *a, const void *b)
 {
     const QRRunEnd *x = a, *y = b;
 
     return (x->ended_ms > y->ended_ms) - (x->ended_ms < y->ended_ms);
 }
 
-/* Whether 'next' is of another cause than 'last', as far as that shows. */
+/* Whether 'next' is a separate try: sent after the end 'last', and to a run
+   that ended late enough after it to have another cause. */
 static bool follows(const QRRunEnd *next, const QRRunEnd *last)
 {
     return next->sent_ms >= last->ended_ms &&
-           next->ended_ms >= last->ended_ms + QR_RUN_ENDS_APART_MS &&
+           next->ended_ms >= last->ended_ms + QR_MIN_TRY_GAP_MS &&
            !is_same_run(next, last);
 }
 
-unsigned qr_run_ends_in_a_row(const QRRunEnds *ends, uint64_t after_ms,
-                              uint64_t sent_from_ms, QRRunEnd row[QR_RUN_ENDS])
+unsigned qr_run_ends_consecutive(const QRRunEnds *ends, uint64_t after_ms,
+                                 uint64_t sent_from_ms,
+                                 QRRunEnd tries[QR_MAX_RUN_ENDS])
 {
-    QRRunEnd sorted[QR_RUN_ENDS];
+    QRRunEnd sorted[QR_MAX_RUN_ENDS];
     unsigned n = 0;
 
     memcpy(sorted, ends->rows, sizeof(sorted));
-    qsort(sorted, ends->count, sizeof(*sorted), by_end);
-    /* of sendings that overlap the one that ended first: so most follow */
+    qsort(sorted, ends->count, sizeof(*sorted), compare_ended_ms);
+    /* of overlapping tries, taking the earliest end gives the longest chain */
     for (unsigned i = 0; i < ends->count; i++) {
         const QRRunEnd *e = &sorted[i];
 
         if (e->ended_ms <= after_ms || e->sent_ms < sent_from_ms)
             continue;
-        if (n == 0 || follows(e, &row[n - 1]))
-            row[n++] = *e;
+        if (n == 0 || follows(e, &tries[n - 1]))
+            tries[n++] = *e;
     }
     return n;
 }
--- a/src/gateway/qr_run_ends.h
+++ b/src/gateway/qr_run_ends.h
@@ -1,44 +1,49 @@
 /*
- * Ends of runs of engines at which one request was at work.
+ * The engine ends that one request is associated with: an entry says that the
+ * process of an engine ended while the engine was running the request.
  */
 #ifndef QR_RUN_ENDS_H
 #define QR_RUN_ENDS_H
 
 #include "base/qr_base.h"
 
-#define QR_RUN_ENDS 8 /* the last ones that are kept */
-/* Engines that end by one cause do so within a moment (eight killed one after
-   the other: 10 ms), and a call is sent on from one to the next within it. So
-   the next try begins, and the next end counts, this much after the last. */
-#define QR_RUN_ENDS_APART_MS 250
+#define QR_MAX_RUN_ENDS 8 /* the latest ends are kept */
+/* Engines that end from one cause end within a moment (eight that were killed
+   one after the other: 10 ms), and a call is retried on the next engine within
+   that moment. Only an end at least this long after the last one counts as
+   another try, and the next try waits this long. */
+#define QR_MIN_TRY_GAP_MS 250
 
-/* One run of an engine ended while the request was at work there. */
+/* A run is one process of an engine, from its start to its end. */
 typedef struct QRRunEnd {
-    uint64_t engine;  /* hash of its id */
-    uint64_t born_ms; /* start of that run, as the engine says; 0: not said */
-    uint64_t sent_ms, ended_ms;
+    uint64_t engine_hash; /* hash of the engine's id */
+    uint64_t born_ms; /* start of the run as the engine reports; 0: unknown */
+    uint64_t sent_ms, ended_ms; /* request sent to the run; run ended */
 } QRRunEnd;
 
 typedef struct QRRunEnds {
-    QRRunEnd rows[QR_RUN_ENDS];
-    unsigned count, total; /* kept; all that were ever added */
+    QRRunEnd rows[QR_MAX_RUN_ENDS];
+    unsigned count; /* rows in use */
+    unsigned total; /* ends ever added, with those no longer kept */
 } QRRunEnds;
 
-/* Whether the end of the same run is among them. */
-bool qr_run_ends_have(const QRRunEnds *ends, const QRRunEnd *end);
-/* Adds the end of a run, or what another one told of the same. */
+/* Whether an end of the same run is stored. */
+bool qr_run_ends_contain(const QRRunEnds *ends, const QRRunEnd *end);
+/* Adds an end. If an end of the same run is stored, keeps the one whose request
+   was sent first. If the list is full, replaces the oldest end. */
 void qr_run_ends_add(QRRunEnds *ends, const QRRunEnd *end);
-/* Removes the end of a run; all of 'until_ms' or before. */
 void qr_run_ends_remove(QRRunEnds *ends, const QRRunEnd *end);
-void qr_run_ends_forget(QRRunEnds *ends, uint64_t until_ms);
-/* When the last one was; 0: none is known. */
+/* Removes the ends at or before 'until_ms'. */
+void qr_run_ends_remove_until(QRRunEnds *ends, uint64_t until_ms);
+/* Returns the time of the latest end, or 0 if none is stored. */
 uint64_t qr_run_ends_last_ms(const QRRunEnds *ends);
 /*
- * The most of those that ended after 'after_ms', of sendings from
- * 'sent_from_ms' on, that followed one another. Returns their number, and them
- * in 'row'.
+ * Finds the longest chain of ends in which each try was sent after the previous
+ * run had ended. Only ends after 'after_ms' count, of requests sent at or after
+ * 'sent_from_ms'. Fills 'tries' in order of time and returns their number.
  */
-unsigned qr_run_ends_in_a_row(const QRRunEnds *ends, uint64_t after_ms,
-                              uint64_t sent_from_ms, QRRunEnd row[QR_RUN_ENDS]);
+unsigned qr_run_ends_consecutive(const QRRunEnds *ends, uint64_t after_ms,
+                                 uint64_t sent_from_ms,
+                                 QRRunEnd tries[QR_MAX_RUN_ENDS]);
 
 #endif
--- a/src/gateway/qr_suspects.c
+++ b/src/gateway/qr_suspects.c
@@ -1,38 +1,43 @@
 /*
- * Requests that may crash the engines that run them.
+ * Detection of requests that crash the engines that run them.
  *
- * At the end of an engine all that is at work there breaks off, up to as many
- * requests as it has places, and one that is asked often is nearly always among
- * them. So being there says little. What tells a request that crashes engines
- * from one that is only there: it is never answered, and each of its tries ends
- * an engine. Three tries count that came one after the other: engines that end
- * together, by whatever cause, are one try of all that was at work at them. A
- * single whole answer, anywhere, clears a request of all that was before.
+ * When an engine ends, all requests that it was running are interrupted, up to
+ * its number of slots. A frequent request is nearly always among them, which
+ * alone proves nothing. A request that crashes engines differs in two ways: the
+ * request is never answered, and each try ends an engine. A request is held
+ * after three consecutive tries. Engines that end together, from whatever
+ * cause, count as one try of every request that was running there. One complete
+ * answer to a request, from any engine, clears all earlier suspicion.
  *
- * With engines that crash by themselves once in t seconds each, and requests
- * that take d, three tries in a row fail with probability (d / t)^3: for 40 ms
- * and 6 s 3e-7, for 1.3 s and 6 s 0.01, and only if no other like it is
- * answered meanwhile. What is asked often is, many times over.
+ * If each engine crashes by itself once in t seconds and a request takes d, an
+ * innocent request fails three consecutive tries with probability (d / t)^3:
+ * 3e-7 for 40 ms and 6 s, 0.01 for 1.3 s and 6 s. The request is held only if
+ * none with the same fingerprint is answered in the meantime; a frequent
+ * request gets many answers in that time.
  */
 #include "qr_suspects.h"
 
 #include <string.h>
 
 #define TRIES_TO_HOLD 3
-/* Two requests that were at work at the same ends: it may be either, or
-   neither. So many tries apart would show it; then both are held back. */
-#define TRIES_TIED 5
-/* A crashed engine takes seconds to come back, new weights minutes; each trial
-   costs up to an engine's places of others. */
-#define HOLD_FIRST_MS 120000
-#define KEPT_MS 600000 /* without news: a request that comes once a minute */
-#define ROWS_MOST 1024 /* 0.5 MB */
+/* For two requests that were running at the same engine ends: either may be the
+   cause, or neither. This many separate tries would tell them apart; if not,
+   both are held. */
+#define TRIES_TO_HOLD_TIED 5
+/* A crashed engine takes seconds to return, and a change of weights takes
+   minutes. Each trial can interrupt as many other requests as an engine has
+   slots. The duration doubles with each hold. */
+#define FIRST_HOLD_MS 120000
+/* Time without a report after which a suspect is removed: long enough for a
+   request that comes once a minute. */
+#define EXPIRY_MS 600000
+#define MAX_ROWS 1024 /* about 0.5 MB */
 
 void qr_suspects_init(QRSuspects *t)
 {
     t->rows = g_hash_table_new_full(qr_fingerprint_hash, qr_fingerprint_equal,
                                     NULL, g_free);
-    t->news = 0;
+    t->unreported = 0;
 }
 
 void qr_suspects_clear(QRSuspects *t)
@@ -55,23 +60,24 @@
     return now_ms < s->held_until_ms;
 }
 
-static unsigned tries_of(const QRSuspect *s, QRRunEnd row[QR_RUN_ENDS])
+static unsigned count_tries(const QRSuspect *s,
+                            QRRunEnd tries_in_row[QR_MAX_RUN_ENDS])
 {
-    /* what was sent before it was held back last counted then */
-    return qr_run_ends_in_a_row(&s->ends, s->answered_ms, s->held_until_ms,
-                                row);
+    /* requests sent before the last hold began were counted for that hold */
+    return qr_run_ends_consecutive(&s->ends, s->answered_ms, s->held_until_ms,
+                                   tries_in_row);
 }
 
 unsigned qr_suspect_tries(const QRSuspect *s)
 {
-    QRRunEnd row[QR_RUN_ENDS];
+    QRRunEnd tries_in_row[QR_MAX_RUN_ENDS];
 
-    return tries_of(s, row) + s->tries_before;
+    return count_tries(s, tries_in_row) + s->stored_tries;
 }
 
-/* Whether another request was at work at all of these ends, too. */
+/* Whether another suspect was running at all of these engine ends as well. */
 static bool is_tied(const QRSuspects *t, const QRSuspect *s,
-                    const QRRunEnd *row, unsigned n)
+                    const QRRunEnd *tries_in_row, unsigned n)
 {
     GHashTableIter it;
     void *value;
@@ -82,9 +88,10 @@
         unsigned same = 0;
 
         if (other == s || other->ends.count < n ||
-            other->tries_before < s->tries_before)
+            other->stored_tries < s->stored_tries)
             continue;
-        while (same < n && qr_run_ends_have(&other->ends, &row[same]))
+        while (same < n &&
+               qr_run_ends_contain(&other->ends, &tries_in_row[same]))
             same++;
         if (same == n)
             return true;
@@ -92,9 +99,10 @@
     return false;
 }
 
-/* The request that is held back explains this end: it says nothing of others.
- */
-static void explain(QRSuspects *t, const QRSuspect *held, const QRRunEnd *end)
+/* Attributes an engine end to a held request: removes the end from all suspects
+   that were never held. */
+static void remove_explained_end(QRSuspects *t, const QRSuspect *held,
+                                 const QRRunEnd *end)
 {
     GHashTableIter it;
     void *value;
@@ -103,18 +111,18 @@
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         QRSuspect *s = value;
 
-        if (s != held && s->holds == 0)
+        if (s != held && s->hold_count == 0)
             qr_run_ends_remove(&s->ends, end);
     }
 }
 
-static void explain_all(QRSuspects *t, const QRSuspect *held)
+static void remove_explained_ends(QRSuspects *t, const QRSuspect *held)
 {
     for (unsigned i = 0; i < held->ends.count; i++)
-        explain(t, held, &held->ends.rows[i]);
+        remove_explained_end(t, held, &held->ends.rows[i]);
 }
 
-static bool is_explained(const QRSuspects *t, const QRRunEnd *end)
+static bool is_explained_by_held(const QRSuspects *t, const QRRunEnd *end)
 {
     GHashTableIter it;
     void *value;
@@ -123,107 +131,111 @@
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         const QRSuspect *s = value;
 
-        if (s->holds > 0 && qr_run_ends_have(&s->ends, end))
+        if (s->hold_count > 0 && qr_run_ends_contain(&s->ends, end))
             return true;
     }
     return false;
 }
 
 /*
- * Judges anew whether the request is to be held back: once others have told
- * what else was at work at its last end. Nothing is sent on trial before.
+ * Holds the suspect if the consecutive tries suffice. Waits QR_MIN_TRY_GAP_MS
+ * after the last engine end until other gateways have reported which requests
+ * were running there. No trial starts before that.
  */
-static void judge(QRSuspects *t, QRSuspect *s, uint64_t now_ms)
+static void evaluate(QRSuspects *t, QRSuspect *s, uint64_t now_ms)
 {
-    QRRunEnd row[QR_RUN_ENDS];
-    unsigned n, tries, needed = s->holds > 0 ? 1 : TRIES_TO_HOLD;
+    QRRunEnd tries_in_row[QR_MAX_RUN_ENDS];
+    unsigned n, tries, needed = s->hold_count > 0 ? 1 : TRIES_TO_HOLD;
 
     if (qr_suspect_is_held(s, now_ms) ||
-        now_ms < qr_run_ends_last_ms(&s->ends) + QR_RUN_ENDS_APART_MS)
+        now_ms < qr_run_ends_last_ms(&s->ends) + QR_MIN_TRY_GAP_MS)
         return;
-    s->is_due = false;
-    n = tries_of(s, row);
-    tries = n + s->tries_before;
+    s->needs_evaluation = false;
+    n = count_tries(s, tries_in_row);
+    tries = n + s->stored_tries;
     if (n == 0 || tries < needed ||
-        (s->holds == 0 && tries < TRIES_TIED && is_tied(t, s, row, n)))
+        (s->hold_count == 0 && tries < TRIES_TO_HOLD_TIED &&
+         is_tied(t, s, tries_in_row, n)))
         return;
     s->held_until_ms =
-        now_ms + MIN((uint64_t)HOLD_FIRST_MS << MIN(s->holds, 8u),
-                     (uint64_t)QR_HOLD_MOST_MS);
-    s->holds++;
-    s->tries_before = 0;
+        now_ms + MIN((uint64_t)FIRST_HOLD_MS << MIN(s->hold_count, 8u),
+                     (uint64_t)QR_MAX_HOLD_MS);
+    s->hold_count++;
+    s->stored_tries = 0;
     s->stored = false;
-    if (!s->held_is_news)
-        t->news++;
-    s->held_is_news = true;
-    explain_all(t, s);
+    if (!s->hold_unreported)
+        t->unreported++;
+    s->hold_unreported = true;
+    remove_explained_ends(t, s);
 }
 
-/* Which row is dropped for another one: of few ends, of long ago. */
-static bool is_worth_less(const QRSuspect *a, const QRSuspect *b)
+/* Eviction order: rows without a hold first, then those with fewer ends, then
+   the ones without a report for longest. */
+static bool is_evicted_before(const QRSuspect *a, const QRSuspect *b)
 {
-    if ((a->holds > 0) != (b->holds > 0))
-        return a->holds == 0;
+    if ((a->hold_count > 0) != (b->hold_count > 0))
+        return a->hold_count == 0;
     if (a->ends.count != b->ends.count)
         return a->ends.count < b->ends.count;
-    return a->news_ms < b->news_ms;
+    return a->updated_ms < b->updated_ms;
 }
 
 static void remove_row(QRSuspects *t, QRSuspect *s)
 {
-    t->news -= s->held_is_news;
+    t->unreported -= s->hold_unreported;
     g_hash_table_remove(t->rows, &s->fingerprint);
 }
 
-static void make_room(QRSuspects *t)
+static void evict_if_full(QRSuspects *t)
 {
     QRSuspect *least = NULL;
     GHashTableIter it;
     void *value;
 
-    if (g_hash_table_size(t->rows) < ROWS_MOST)
+    if (g_hash_table_size(t->rows) < MAX_ROWS)
         return;
     g_hash_table_iter_init(&it, t->rows);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        if (!least || is_worth_less(value, least))
+        if (!least || is_evicted_before(value, least))
             least = value;
     }
     if (least)
         remove_row(t, least);
 }
 
-static QRSuspect *row_of(QRSuspects *t, const QRFingerprint *f, uint64_t now_ms)
+static QRSuspect *find_or_add(QRSuspects *t, const QRFingerprint *f,
+                              uint64_t now_ms)
 {
     QRSuspect *s = qr_suspects_get(t, f);
 
     if (!s) {
-        make_room(t);
+        evict_if_full(t);
         s = g_new0(QRSuspect, 1);
         s->fingerprint = *f;
         g_hash_table_insert(t->rows, &s->fingerprint, s);
     }
-    s->news_ms = MAX(s->news_ms, now_ms);
+    s->updated_ms = MAX(s->updated_ms, now_ms);
     return s;
 }
 
-QRSuspect *qr_suspects_ended(QRSuspects *t, const QRFingerprint *f,
-                             const QRRunEnd *end, uint64_t now_ms)
+QRSuspect *qr_suspects_add_end(QRSuspects *t, const QRFingerprint *f,
+                               const QRRunEnd *end, uint64_t now_ms)
 {
     QRSuspect *s = qr_suspects_get(t, f);
 
     if (s && end->ended_ms <= s->answered_ms)
         return NULL;
-    if ((!s || s->holds == 0) && is_explained(t, end))
+    if ((!s || s->hold_count == 0) && is_explained_by_held(t, end))
         return NULL;
-    s = row_of(t, f, now_ms);
+    s = find_or_add(t, f, now_ms);
     qr_run_ends_add(&s->ends, end);
-    if (s->holds > 0)
-        explain(t, s, end);
-    s->is_due = true;
+    if (s->hold_count > 0)
+        remove_explained_end(t, s, end);
+    s->needs_evaluation = true;
     return s;
 }
 
-void qr_suspects_judge(QRSuspects *t, uint64_t now_ms)
+void qr_suspects_evaluate(QRSuspects *t, uint64_t now_ms)
 {
     GHashTableIter it;
     void *value;
@@ -232,17 +244,19 @@
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         QRSuspect *s = value;
 
-        if (s->is_due)
-            judge(t, s, now_ms);
+        if (s->needs_evaluation)
+            evaluate(t, s, now_ms);
     }
 }
 
-bool qr_suspect_is_own(const QRSuspect *s)
+bool qr_suspect_last_end_is_local(const QRSuspect *s)
 {
-    return s->ends.count > 0 && s->own_end_ms >= qr_run_ends_last_ms(&s->ends);
+    return s->ends.count > 0 &&
+           s->local_end_ms >= qr_run_ends_last_ms(&s->ends);
 }
 
-bool qr_suspects_answered(QRSuspects *t, const QRFingerprint *f, uint64_t at_ms)
+bool qr_suspects_note_answer(QRSuspects *t, const QRFingerprint *f,
+                             uint64_t at_ms)
 {
     QRSuspect *s = qr_suspects_get(t, f);
     bool was_suspect;
@@ -250,80 +264,82 @@
     if (!s || at_ms <= s->answered_ms)
         return false;
     s->answered_ms = at_ms;
-    s->news_ms = MAX(s->news_ms, at_ms);
-    was_suspect = s->ends.count > 0 || s->holds > 0 || s->tries_before > 0;
-    s->tries_before = 0;
-    qr_run_ends_forget(&s->ends, at_ms);
-    if (s->ends.count > 0) /* told late: it says nothing of later ends */
+    s->updated_ms = MAX(s->updated_ms, at_ms);
+    was_suspect = s->ends.count > 0 || s->hold_count > 0 || s->stored_tries > 0;
+    s->stored_tries = 0;
+    qr_run_ends_remove_until(&s->ends, at_ms);
+    /* a late report of the answer does not cover later ends */
+    if (s->ends.count > 0)
         return was_suspect;
     s->held_until_ms = 0;
-    s->holds = 0;
-    s->others_until_ms = 0;
+    s->hold_count = 0;
+    s->remote_trial_until_ms = 0;
     s->stored = false;
-    s->store_due_ms = 0;
-    t->news -= s->held_is_news;
-    s->held_is_news = false;
+    s->write_due_ms = 0;
+    t->unreported -= s->hold_unreported;
+    s->hold_unreported = false;
     return was_suspect;
 }
 
-QRSuspect *qr_suspects_tried(QRSuspects *t, const QRFingerprint *f,
-                             unsigned tries, uint64_t now_ms)
+QRSuspect *qr_suspects_add_stored_tries(QRSuspects *t, const QRFingerprint *f,
+                                        unsigned tries, uint64_t now_ms)
 {
     QRSuspect *s = qr_suspects_get(t, f);
 
     if (s && s->answered_ms > 0)
         return NULL;
-    s = row_of(t, f, now_ms);
-    /* one that knows ends itself may know these */
+    s = find_or_add(t, f, now_ms);
+    /* a suspect with known ends may already include the stored tries */
     if (s->ends.count == 0)
-        s->tries_before = MAX(s->tries_before, tries);
+        s->stored_tries = MAX(s->stored_tries, tries);
     return s;
 }
 
 QRSuspect *qr_suspects_hold(QRSuspects *t, const QRFingerprint *f,
-                            uint64_t until_ms, unsigned holds, uint64_t now_ms)
+                            uint64_t until_ms, unsigned hold_count,
+                            uint64_t now_ms)
 {
-    QRSuspect *s = row_of(t, f, now_ms);
+    QRSuspect *s = find_or_add(t, f, now_ms);
 
     s->held_until_ms = MAX(s->held_until_ms, until_ms);
-    s->holds = MAX(s->holds, holds);
-    explain_all(t, s);
+    s->hold_count = MAX(s->hold_count, hold_count);
+    remove_explained_ends(t, s);
     return s;
 }
 
-QRSuspicion qr_suspects_ask(QRSuspects *t, const QRFingerprint *f,
-                            uint64_t now_ms)
+QRSuspicion qr_suspects_check(QRSuspects *t, const QRFingerprint *f,
+                              uint64_t now_ms)
 {
     QRSuspect *s = qr_suspects_get(t, f);
 
     if (!s)
         return QR_SUSPICION_NONE;
-    judge(t, s, now_ms); /* a tie may be over */
+    evaluate(t, s, now_ms); /* the tie with another suspect may be resolved */
     if (qr_suspect_is_held(s, now_ms))
         return QR_SUSPICION_HELD;
-    if (s->holds == 0 && qr_suspect_tries(s) == 0)
+    if (s->hold_count == 0 && qr_suspect_tries(s) == 0)
         return QR_SUSPICION_NONE;
-    return s->own_trials > 0 || now_ms < s->others_until_ms ||
-                   now_ms < qr_run_ends_last_ms(&s->ends) + QR_RUN_ENDS_APART_MS
+    return s->local_trials > 0 || now_ms < s->remote_trial_until_ms ||
+                   now_ms < qr_run_ends_last_ms(&s->ends) + QR_MIN_TRY_GAP_MS
                ? QR_SUSPICION_WAIT
                : QR_SUSPICION_TRIAL;
 }
 
-QRSuspect *qr_suspects_next_news(QRSuspects *t)
+QRSuspect *qr_suspects_next_unreported(QRSuspects *t)
 {
     GHashTableIter it;
     void *value;
 
-    if (t->news == 0)
+    if (t->unreported == 0)
         return NULL;
     g_hash_table_iter_init(&it, t->rows);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         QRSuspect *s = value;
 
-        if (!s->held_is_news)
+        if (!s->hold_unreported)
             continue;
-        s->held_is_news = false;
-        t->news--;
+        s->hold_unreported = false;
+        t->unreported--;
         return s;
     }
     return NULL;
@@ -338,10 +354,10 @@
     while (g_hash_table_iter_next(&it, NULL, &value)) {
         QRSuspect *s = value;
 
-        if (s->own_trials > 0 ||
-            now_ms < MAX(s->news_ms, s->held_until_ms) + KEPT_MS)
+        if (s->local_trials > 0 ||
+            now_ms < MAX(s->updated_ms, s->held_until_ms) + EXPIRY_MS)
             continue;
-        t->news -= s->held_is_news;
+        t->unreported -= s->hold_unreported;
         g_hash_table_iter_remove(&it);
     }
 }
--- a/src/gateway/qr_suspects.h
+++ b/src/gateway/qr_suspects.h
@@ -1,10 +1,11 @@
 /*
- * Requests that may crash the engines that run them. Counts and judges; knows
- * no socket and no clock: times are the caller's, in milliseconds.
+ * Table of suspects: requests that may crash the engines that run them. This
+ * module does no I/O and reads no clock: the caller passes the time, in
+ * milliseconds.
  *
- * What is known of a request: at which ends of engines it was at work there,
- * and when it was last answered whole, by whichever gateway. None of that
- * depends on the order in which it is told, nor on how often.
+ * A suspect records at which engine ends the request was running, and when any
+ * gateway last got a complete answer to the request. The result does not depend
+ * on the order in which reports arrive, nor on duplicates.
  */
 #ifndef QR_SUSPECTS_H
 #define QR_SUSPECTS_H
@@ -12,69 +13,80 @@
 #include "qr_fingerprint.h"
 #include "qr_run_ends.h"
 
-#define QR_HOLD_MOST_MS 3600000
+#define QR_MAX_HOLD_MS 3600000
+
+/* A held request is refused and sent to no engine until the hold expires. A
+   trial is a sending of a suspect; only one trial at a time is allowed. */
 typedef struct QRSuspect {
     QRFingerprint fingerprint;
     QRRunEnds ends;
-    uint64_t news_ms;         /* of anything */
-    uint64_t answered_ms;     /* ends before that say nothing */
-    uint64_t held_until_ms;   /* not sent before; 0: never was held back */
-    unsigned holds;           /* times in a row */
-    unsigned tries_before;    /* in a row, of which only the store told us */
-    unsigned own_trials;      /* sendings of ours under way */
-    uint64_t others_until_ms; /* on trial at another gateway until then */
-    uint64_t own_end_ms;      /* the last one that we saw ourselves */
-    bool is_due;              /* an end has come since it was judged last */
-    bool held_is_news;        /* judged so here, not reported yet */
-    bool stored;              /* the store has it */
-    uint64_t stored_epoch;    /* ... since it went back last, if it did */
-    uint64_t store_due_ms;    /* to be written there then; 0: not by us */
+    uint64_t updated_ms;    /* last report of any kind */
+    uint64_t answered_ms;   /* last complete answer: earlier ends are ignored */
+    uint64_t held_until_ms; /* 0: never held */
+    unsigned hold_count;    /* holds without an answer in between */
+    unsigned stored_tries;  /* consecutive tries that only the store reported */
+    unsigned local_trials;  /* trials in progress at this gateway */
+    uint64_t remote_trial_until_ms; /* another gateway's trial ends by then */
+    uint64_t local_end_ms; /* last engine end that this gateway detected */
+    bool needs_evaluation; /* an end was added since the last evaluation */
+    bool hold_unreported;  /* held by this gateway's own evaluation, and not
+                              yet reported */
+    bool stored;           /* the store has the current state */
+    uint64_t stored_epoch; /* epoch of the store in which it was stored */
+    uint64_t write_due_ms; /* when to write the state to the store; 0: this
+                              gateway has nothing to write */
 } QRSuspect;
 
 typedef struct QRSuspects {
-    GHashTable *rows; /* QRFingerprint -> QRSuspect *, owned */
-    unsigned news;    /* rows whose 'held_is_news' is set */
+    GHashTable *rows;    /* QRFingerprint -> QRSuspect *, owned */
+    unsigned unreported; /* rows whose 'hold_unreported' is set */
 } QRSuspects;
 
 typedef enum QRSuspicion {
-    QR_SUSPICION_NONE,  /* sent like any other */
-    QR_SUSPICION_TRIAL, /* sent, and no other like it meanwhile */
-    QR_SUSPICION_WAIT,  /* one like it is on trial */
-    QR_SUSPICION_HELD,  /* not sent */
+    QR_SUSPICION_NONE,  /* may be sent without restriction */
+    QR_SUSPICION_TRIAL, /* may be sent while no other trial is in progress */
+    QR_SUSPICION_WAIT,  /* has to wait until another trial is over */
+    QR_SUSPICION_HELD,  /* must not be sent */
 } QRSuspicion;
 
 void qr_suspects_init(QRSuspects *t);
 void qr_suspects_clear(QRSuspects *t);
 bool qr_suspects_is_empty(const QRSuspects *t);
+/* Returns the suspect, which the table owns, or NULL. */
 QRSuspect *qr_suspects_get(const QRSuspects *t, const QRFingerprint *f);
-/* Takes an end that was seen or told. Returns the row, or NULL if the end says
-   nothing of the request. */
-QRSuspect *qr_suspects_ended(QRSuspects *t, const QRFingerprint *f,
-                             const QRRunEnd *end, uint64_t now_ms);
-/* Judges those of which an end has come: call it with every tick. */
-void qr_suspects_judge(QRSuspects *t, uint64_t now_ms);
-/* Whether we saw its last end ourselves. */
-bool qr_suspect_is_own(const QRSuspect *s);
-/* It was answered whole. Returns false if it was no suspect. */
-bool qr_suspects_answered(QRSuspects *t, const QRFingerprint *f,
-                          uint64_t at_ms);
-/* The store tells of tries in a row that we do not know of. Returns the row, or
-   NULL if it has been answered since. */
-QRSuspect *qr_suspects_tried(QRSuspects *t, const QRFingerprint *f,
-                             unsigned tries, uint64_t now_ms);
-/* Others, or the store, hold it back. */
+/* Adds an engine end that this gateway detected or a peer reported. Returns the
+   suspect, or NULL if the end is older than an answer to the request or is
+   attributed to a held request. */
+QRSuspect *qr_suspects_add_end(QRSuspects *t, const QRFingerprint *f,
+                               const QRRunEnd *end, uint64_t now_ms);
+/* Decides on holds for the suspects with new ends. To be called at each tick.
+ */
+void qr_suspects_evaluate(QRSuspects *t, uint64_t now_ms);
+/* Whether this gateway itself detected the suspect's last end. */
+bool qr_suspect_last_end_is_local(const QRSuspect *s);
+/* Records a complete answer, which clears all earlier suspicion. Returns false
+   if the request was no suspect. */
+bool qr_suspects_note_answer(QRSuspects *t, const QRFingerprint *f,
+                             uint64_t at_ms);
+/* Records consecutive tries that the store lists. Returns the suspect, or NULL
+   if the request was answered. */
+QRSuspect *qr_suspects_add_stored_tries(QRSuspects *t, const QRFingerprint *f,
+                                        unsigned tries, uint64_t now_ms);
+/* Records a hold that a peer or the store reports. Returns the suspect. */
 QRSuspect *qr_suspects_hold(QRSuspects *t, const QRFingerprint *f,
-                            uint64_t until_ms, unsigned holds, uint64_t now_ms);
-QRSuspicion qr_suspects_ask(QRSuspects *t, const QRFingerprint *f,
+                            uint64_t until_ms, unsigned hold_count,
                             uint64_t now_ms);
-/* Tries in a row, each of which ended an engine; without an answer since, and
-   since it was held back last. */
+/* Returns whether the request may be sent now. */
+QRSuspicion qr_suspects_check(QRSuspects *t, const QRFingerprint *f,
+                              uint64_t now_ms);
+/* Returns the number of consecutive tries that each ended an engine, since the
+   last answer and since the last hold. */
 unsigned qr_suspect_tries(const QRSuspect *s);
 bool qr_suspect_is_held(const QRSuspect *s, uint64_t now_ms);
-/* The next row that was judged to be held back here and not reported, or NULL.
- */
-QRSuspect *qr_suspects_next_news(QRSuspects *t);
-/* Forgets rows of which nothing was heard for long. */
+/* Returns a suspect whose hold was decided here and is not yet reported, and
+   marks the hold as reported. Returns NULL if there is none. */
+QRSuspect *qr_suspects_next_unreported(QRSuspects *t);
+/* Removes suspects without a report for a long time. */
 void qr_suspects_sweep(QRSuspects *t, uint64_t now_ms);
 
 #endif
--- a/tests/cost.c
+++ b/tests/cost.c
@@ -317,12 +317,12 @@
         if (k == rows)
             t = seconds();
         memcpy(f.bytes, &k, sizeof(k));
-        qr_suspects_ended(&s, &f, &end, 1050 + k);
+        qr_suspects_add_end(&s, &f, &end, 1050 + k);
     }
     print_row("suspect_end", rows, (seconds() - t) * 1e6 / CALLS, "us");
     t = seconds();
     for (unsigned k = 0; k < CALLS; k++)
-        qr_suspects_judge(&s, 2000 + k);
+        qr_suspects_evaluate(&s, 2000 + k);
     print_row("suspect_tick", rows, (seconds() - t) * 1e6 / CALLS, "us");
     qr_suspects_clear(&s);
 }
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -168,7 +168,7 @@
             send(fleet, "cut-%d" % i, i % 2, b"same")
         assert held_rows(fleet) == []
         assert "engine ended" not in fleet.log("g0") + fleet.log("g1")
-        assert "requests: broke" in fleet.log("g0")
+        assert "requests: connection broke" in fleet.log("g0")
         for engine in fleet.plain:
             engine.behave = None
         # engines that cut answers are left alone for some seconds
--- a/tests/unit_budget.c
+++ b/tests/unit_budget.c
@@ -76,7 +76,7 @@
 
     for (g->owed += a_second * STEP_MS / 1000; g->owed >= 1; g->owed--) {
         f->calls[f->step]++;
-        qr_budget_call(&g->budget, now_ms(f));
+        qr_budget_add_call(&g->budget, now_ms(f));
     }
 }
 
@@ -85,10 +85,10 @@
 {
     Gateway *g = &f->gateways[i];
     QRBudgetFleet facts = {f->allowance, g->known, now_ms(f) - g->started_ms};
-    double part = qr_budget_part(&g->budget, &facts);
+    double part = qr_budget_allowance_share(&g->budget, &facts);
     unsigned at = f->step + late_ms / STEP_MS;
 
-    while (wanted-- > 0 && qr_budget_retry(&g->budget, part, now_ms(f))) {
+    while (wanted-- > 0 && qr_budget_take_retry(&g->budget, part, now_ms(f))) {
         if (at < DAY)
             f->beyond[at]++;
     }
--- a/tests/unit_fleet.c
+++ b/tests/unit_fleet.c
@@ -124,16 +124,16 @@
 
     qr_budget_init(&b, 0.2, 10000);
     for (unsigned i = 0; i < 100; i++)
-        qr_budget_call(&b, 1000);
+        qr_budget_add_call(&b, 1000);
     for (unsigned i = 0; i < 100; i++)
-        taken += qr_budget_retry(&b, 5, 1000 + i);
+        taken += qr_budget_take_retry(&b, 5, 1000 + i);
     /* half of the ratio, and the part */
     ck_assert_uint_eq(taken, 15);
-    ck_assert(!qr_budget_retry(&b, 5, 9000));
+    ck_assert(!qr_budget_take_retry(&b, 5, 9000));
     /* up to the end of the window */
-    ck_assert(!qr_budget_retry(&b, 5, 1000 + 10000 - 1));
+    ck_assert(!qr_budget_take_retry(&b, 5, 1000 + 10000 - 1));
     /* a window later both calls and retries have slid out */
-    ck_assert(qr_budget_retry(&b, 5, 20000));
+    ck_assert(qr_budget_take_retry(&b, 5, 20000));
 }
 END_TEST
 
--- a/tests/unit_suspects.c
+++ b/tests/unit_suspects.c
@@ -32,14 +32,14 @@
     QRFingerprint f = print_of(request);
     QRRunEnd end = end_of(n, n * 1000, n * 1000 + 50);
 
-    qr_suspects_ended(t, &f, &end, end.ended_ms);
+    qr_suspects_add_end(t, &f, &end, end.ended_ms);
 }
 
 static QRSuspicion ask(QRSuspects *t, unsigned request, uint64_t at)
 {
     QRFingerprint f = print_of(request);
 
-    return qr_suspects_ask(t, &f, START_MS + at);
+    return qr_suspects_check(t, &f, START_MS + at);
 }
 
 START_TEST(suspects_three_tries_in_a_row)
@@ -53,13 +53,13 @@
     try_once(&t, 1, 2);
     try_once(&t, 1, 3);
     ck_assert_int_eq(ask(&t, 1, 4000), QR_SUSPICION_HELD);
-    ck_assert_ptr_nonnull(qr_suspects_next_news(&t));
-    ck_assert_ptr_null(qr_suspects_next_news(&t));
+    ck_assert_ptr_nonnull(qr_suspects_next_unreported(&t));
+    ck_assert_ptr_null(qr_suspects_next_unreported(&t));
     /* after the time for which it is held back one try is made */
     ck_assert_int_eq(ask(&t, 1, 123999), QR_SUSPICION_HELD);
     ck_assert_int_eq(ask(&t, 1, 124000), QR_SUSPICION_TRIAL);
     try_once(&t, 1, 130);
-    qr_suspects_judge(&t, START_MS + 130300);
+    qr_suspects_evaluate(&t, START_MS + 130300);
     ck_assert_int_eq(ask(&t, 1, 130300 + 239999), QR_SUSPICION_HELD);
     ck_assert_int_eq(ask(&t, 1, 130300 + 240000), QR_SUSPICION_TRIAL);
     qr_suspects_clear(&t);
@@ -75,16 +75,16 @@
     qr_suspects_init(&t);
     try_once(&t, 1, 1);
     try_once(&t, 1, 2);
-    ck_assert(qr_suspects_answered(&t, &f, START_MS + 2500));
+    ck_assert(qr_suspects_note_answer(&t, &f, START_MS + 2500));
     ck_assert_int_eq(ask(&t, 1, 2500), QR_SUSPICION_NONE);
     /* an end of before it that is told late says nothing */
-    ck_assert_ptr_null(qr_suspects_ended(&t, &f, &late, START_MS + 2600));
+    ck_assert_ptr_null(qr_suspects_add_end(&t, &f, &late, START_MS + 2600));
     try_once(&t, 1, 3);
     try_once(&t, 1, 4);
     ck_assert_int_eq(ask(&t, 1, 5000), QR_SUSPICION_TRIAL);
     try_once(&t, 1, 5);
     ck_assert_int_eq(ask(&t, 1, 6000), QR_SUSPICION_HELD);
-    ck_assert(qr_suspects_answered(&t, &f, START_MS + 6500));
+    ck_assert(qr_suspects_note_answer(&t, &f, START_MS + 6500));
     ck_assert_int_eq(ask(&t, 1, 6500), QR_SUSPICION_NONE);
     qr_suspects_clear(&t);
 }
@@ -99,9 +99,9 @@
     /* told by others, with the last of its ends */
     qr_suspects_hold(&t, &f, START_MS + 100000, 1, START_MS + 4400);
     try_once(&t, 1, 4);
-    qr_suspects_answered(&t, &f, START_MS + 3000);
+    qr_suspects_note_answer(&t, &f, START_MS + 3000);
     ck_assert_int_eq(ask(&t, 1, 6000), QR_SUSPICION_HELD);
-    qr_suspects_answered(&t, &f, START_MS + 7000);
+    qr_suspects_note_answer(&t, &f, START_MS + 7000);
     ck_assert_int_eq(ask(&t, 1, 7000), QR_SUSPICION_NONE);
     qr_suspects_clear(&t);
 }
@@ -113,13 +113,14 @@
     QRSuspects t;
 
     qr_suspects_init(&t);
-    ck_assert_ptr_nonnull(qr_suspects_tried(&t, &f, 2, START_MS));
+    ck_assert_ptr_nonnull(qr_suspects_add_stored_tries(&t, &f, 2, START_MS));
     ck_assert_int_eq(ask(&t, 1, 100), QR_SUSPICION_TRIAL);
     try_once(&t, 2, 1); /* is at work beside it, for the first time */
     try_once(&t, 1, 1);
     ck_assert_int_eq(ask(&t, 1, 1400), QR_SUSPICION_HELD);
-    ck_assert(qr_suspects_answered(&t, &f, START_MS + 2000));
-    ck_assert_ptr_null(qr_suspects_tried(&t, &f, 2, START_MS + 2100));
+    ck_assert(qr_suspects_note_answer(&t, &f, START_MS + 2000));
+    ck_assert_ptr_null(
+        qr_suspects_add_stored_tries(&t, &f, 2, START_MS + 2100));
     ck_assert_int_eq(ask(&t, 1, 2200), QR_SUSPICION_NONE);
     qr_suspects_clear(&t);
 }
@@ -136,7 +137,7 @@
     for (unsigned i = 0; i < 12; i++) {
         QRRunEnd end = end_of(i, i * 10, i * 10 + 9);
 
-        qr_suspects_ended(&t, &f, &end, end.ended_ms);
+        qr_suspects_add_end(&t, &f, &end, end.ended_ms);
     }
     ck_assert_int_eq(qr_suspect_tries(qr_suspects_get(&t, &f)), 1);
     /* the next try waits until that is over */
@@ -154,13 +155,13 @@
 
     qr_suspects_init(&t);
     for (unsigned i = 0; i < 5; i++) { /* told by five, each later */
-        qr_suspects_ended(&t, &f, &end, end.ended_ms);
+        qr_suspects_add_end(&t, &f, &end, end.ended_ms);
         end.sent_ms += 400;
         end.ended_ms += 400;
     }
     ck_assert_int_eq(qr_suspect_tries(qr_suspects_get(&t, &f)), 1);
     end.born_ms += 3000; /* it has started anew under its id */
-    qr_suspects_ended(&t, &f, &end, end.ended_ms);
+    qr_suspects_add_end(&t, &f, &end, end.ended_ms);
     ck_assert_int_eq(qr_suspect_tries(qr_suspects_get(&t, &f)), 2);
     qr_suspects_clear(&t);
 }
@@ -175,10 +176,10 @@
     qr_suspects_init(&t);
     try_once(&t, 1, 1);
     s = qr_suspects_get(&t, &f);
-    s->own_trials = 1;
+    s->local_trials = 1;
     ck_assert_int_eq(ask(&t, 1, 1500), QR_SUSPICION_WAIT);
-    s->own_trials = 0;
-    s->others_until_ms = START_MS + 3000;
+    s->local_trials = 0;
+    s->remote_trial_until_ms = START_MS + 3000;
     ck_assert_int_eq(ask(&t, 1, 1500), QR_SUSPICION_WAIT);
     ck_assert_int_eq(ask(&t, 1, 3001), QR_SUSPICION_TRIAL);
     qr_suspects_clear(&t);
@@ -218,7 +219,7 @@
     ck_assert_int_eq(ask(&t, 1, 3400), QR_SUSPICION_TRIAL);
     ck_assert_int_eq(ask(&t, 2, 3400), QR_SUSPICION_TRIAL);
     /* once one of them is answered, it is the other */
-    ck_assert(qr_suspects_answered(&t, &f, START_MS + 3500));
+    ck_assert(qr_suspects_note_answer(&t, &f, START_MS + 3500));
     ck_assert_int_eq(ask(&t, 1, 3600), QR_SUSPICION_HELD);
     ck_assert_int_eq(ask(&t, 2, 3600), QR_SUSPICION_NONE);
     qr_suspects_clear(&t);
@@ -239,7 +240,7 @@
     ck_assert_ptr_nonnull(qr_suspects_get(&t, &f)); /* it is held back */
     qr_suspects_sweep(&t, START_MS + 100000000);
     ck_assert(qr_suspects_is_empty(&t));
-    ck_assert_uint_eq(t.news, 0);
+    ck_assert_uint_eq(t.unreported, 0);
     qr_suspects_clear(&t);
 }
 END_TEST
@@ -255,21 +256,21 @@
 {
     uint64_t random = 11;
     QRFingerprint f = print_of(1);
-    QRRunEnd ends[QR_RUN_ENDS];
+    QRRunEnd ends[QR_MAX_RUN_ENDS];
     unsigned rounds = 0;
 
-    for (unsigned i = 0; i < QR_RUN_ENDS; i++)
+    for (unsigned i = 0; i < QR_MAX_RUN_ENDS; i++)
         ends[i] = end_of(i, dice(&random, 2000), 2000 + dice(&random, 2000));
     for (unsigned order = 0; order < ORDERS; order++) {
-        unsigned told[QR_RUN_ENDS] = {0}, left = QR_RUN_ENDS;
+        unsigned told[QR_MAX_RUN_ENDS] = {0}, left = QR_MAX_RUN_ENDS;
         QRSuspects t;
 
         qr_suspects_init(&t);
         while (left > 0) { /* some of them several times */
-            unsigned i = dice(&random, QR_RUN_ENDS);
+            unsigned i = dice(&random, QR_MAX_RUN_ENDS);
 
             left -= told[i]++ == 0;
-            qr_suspects_ended(&t, &f, &ends[i], START_MS + 5000);
+            qr_suspects_add_end(&t, &f, &ends[i], START_MS + 5000);
         }
         if (order == 0)
             rounds = qr_suspect_tries(qr_suspects_get(&t, &f));
@@ -349,10 +350,10 @@
         m->ends_under += c->request == CRASHES;
         c->due_ms = 0;
         w.end = (QRRunEnd){engine, 0, c->sent_ms, m->now_ms};
-        qr_suspects_ended(&m->tables[c->gateway], &f, &w.end, m->now_ms);
+        qr_suspects_add_end(&m->tables[c->gateway], &f, &w.end, m->now_ms);
         s = qr_suspects_get(&m->tables[c->gateway], &f);
-        if (s && s->own_trials > 0)
-            s->own_trials--;
+        if (s && s->local_trials > 0)
+            s->local_trials--;
         tell(m, &w);
     }
 }
@@ -369,9 +370,9 @@
         return;
     }
     c->due_ms = 0;
-    if (s && s->own_trials > 0)
-        s->own_trials--;
-    if (qr_suspects_answered(&m->tables[c->gateway], &f, m->now_ms))
+    if (s && s->local_trials > 0)
+        s->local_trials--;
+    if (qr_suspects_note_answer(&m->tables[c->gateway], &f, m->now_ms))
         tell(m, &w);
 }
 
@@ -381,7 +382,7 @@
     unsigned engine = dice(&m->random, ENGINES);
     QRSuspects *t = &m->tables[gateway];
     QRFingerprint f = print_of(request);
-    QRSuspicion suspicion = qr_suspects_ask(t, &f, m->now_ms);
+    QRSuspicion suspicion = qr_suspects_check(t, &f, m->now_ms);
     bool refused =
         suspicion == QR_SUSPICION_WAIT || suspicion == QR_SUSPICION_HELD;
 
@@ -397,7 +398,7 @@
         *c = (Call){request, gateway, engine, m->now_ms,
                     m->now_ms + 30 + dice(&m->random, 100)};
         if (suspicion == QR_SUSPICION_TRIAL)
-            qr_suspects_get(t, &f)->own_trials++;
+            qr_suspects_get(t, &f)->local_trials++;
         return;
     }
 }
@@ -412,9 +413,9 @@
             continue;
         w->at_ms = 0;
         if (w->answered)
-            qr_suspects_answered(&m->tables[w->to], &f, w->answered_ms);
+            qr_suspects_note_answer(&m->tables[w->to], &f, w->answered_ms);
         else
-            qr_suspects_ended(&m->tables[w->to], &f, &w->end, m->now_ms);
+            qr_suspects_add_end(&m->tables[w->to], &f, &w->end, m->now_ms);
     }
 }
 
@@ -482,7 +483,7 @@
         for (unsigned g = 0; g < GATEWAYS; g++) {
             const QRSuspect *s = qr_suspects_get(&m->tables[g], &f);
 
-            ck_assert_msg(!s || s->holds == 0, "seed %u: held back", seed);
+            ck_assert_msg(!s || s->hold_count == 0, "seed %u: held back", seed);
         }
         ck_assert_msg(m->frequent_refused * 20 < m->frequent_sent,
                       "seed %u: %u of %u made to wait", seed,
