--- a/src/gateway/qr_run_ends.h
+++ b/src/gateway/qr_run_ends.h
@@ -23,8 +23,7 @@
 
 typedef struct QRRunEnds {
     QRRunEnd rows[QR_MAX_RUN_ENDS];
-    unsigned count; /* rows in use */
-    unsigned total; /* ends ever added, with those no longer kept */
+    unsigned count, total; /* rows in use; ends ever added */
 } QRRunEnds;
 
 /* Whether an end of the same run is stored. */
--- a/tests/crashing.py
+++ b/tests/crashing.py
@@ -1,24 +1,25 @@
-"""A request that crashes each engine that begins to run it, on real gateways
-before engines that come back.
+"""A request that crashes every engine that runs it, on real gateways in front of
+engines that restart after a crash.
 
     crashing.py [--gateways N] [--engines N] [--seconds S] [--seed N]
                 [--course NAME] [--path PATH] [--returns same|new] [--without]
                 [--every S] [--requests N]
 
-The request comes every 0.15 s through any gateway, each time under a new id (of
-several --requests one after the other);
-twelve other callers go on meanwhile, half of them with one same request. Prints
-how many engines ended under it, how often it began later than contact (3 s)
-after the third, and what became of the others; --without plays the same course
-without it, for comparison. Courses:
+The request is sent every 0.15 s (--every) through a random gateway, each time under
+a new id; with --requests N, N such requests take turns. Meanwhile twelve callers send
+harmless requests, and six of them all send the same one. Prints how many engines
+ended under the request, how often the request began later than SPREAD_S (3 s) after
+the third end, and what became of the other calls. --without runs the same course
+without the request, for comparison. --returns says whether an engine restarts under
+the same id or a new one. Courses:
 
     calm      nothing else happens
-    kills     gateways are killed and started again, one after the other
-    kill_all  all of them at once, a second after the third end
-    freezes   gateways stand still for 1 s, one after the other
+    kills     gateways are killed and restarted, one after the other
+    kill_all  all gateways are killed and restarted at once, 1 s after the third end
+    freezes   gateways freeze for 1 s, one after the other
     cuts      links between gateways are cut for 2 s, one gateway at a time
-    alone     no such request; engines crash by themselves
-    herd      as that, all of them at once
+    alone     no such request; engines crash spontaneously, one at a time
+    herd      no such request; all engines crash at once, again and again
 """
 import argparse
 import random
@@ -35,24 +36,24 @@
 CRASHES = b"this one crashes you"
 SAME = b"asked by many"
 EVERY_S = 0.15      # between two tries of the request
-CRASH_S = 0.05      # from its beginning to the engine's end
-AWAY_S = 1.2        # until the engine is back
-WORK_S = 0.04       # of any other request
-CONTACT_S = 3.0     # for the word to go round
-BEGIN_S = 1.0       # of the run, before the request comes for the first time
+CRASH_S = 0.05      # from the start of the request to the crash
+RESTART_S = 1.2     # from a crash until the engine is back
+WORK_S = 0.04       # duration of any other request
+SPREAD_S = 3.0      # for messages to reach all gateways
+BEGIN_S = 1.0       # of the run, before the first try of the request
 CALLERS = 12
-EVENTS = 6          # of a stream
-PORT_S = 5.0        # for a port to be free again
+EVENTS = 6          # in a stream
+PORT_S = 5.0        # longest wait until the port of a crashed engine is free
 COURSES = ("calm", "kills", "kill_all", "freezes", "cuts", "alone", "herd")
 
 
 class CrashingEngine(Engine):
-    """A plain engine with few places, which turns away what it has none for."""
+    """An engine with few slots, which refuses requests beyond them."""
 
     def __init__(self, fleet, ident, returns="same"):
         self.fleet, self.returns, self.starts = fleet, returns, 0
         self.running, self.up = 0, True
-        self.began = []  # when the request began here
+        self.began = []  # when a crashing request began here, and its body
         self.ends = []   # when this engine crashed
         super().__init__(ident, "ledger")
         self.born = int(time.time() * 1000)
@@ -72,24 +73,24 @@
         try:
             if request.body.startswith(CRASHES):
                 self.began.append((time.monotonic(), request.body))
-                return self.crashes(conn, request)
-            return self.works(conn, request)
+                return self.run_crashing(conn, request)
+            return self.run_harmless(conn, request)
         finally:
             with self.lock:
                 if run == self.starts:
                     self.running -= 1
 
-    def crashes(self, conn, request):
+    def run_crashing(self, conn, request):
         if request.path.startswith("/stream/"):
             start_stream(self, conn, request)
             first = stream_from(request)
             send_chunk(conn, events(first, first + 1))
-        if readable(conn, CRASH_S):  # the caller has left, and so it ends
+        if readable(conn, CRASH_S):  # the caller closed the connection: no crash
             return False
         self.crash()
         return False
 
-    def works(self, conn, request):
+    def run_harmless(self, conn, request):
         if not request.path.startswith("/stream/"):
             time.sleep(WORK_S)
             answer(conn, 200, b"done " + request.body, self.head(request))
@@ -110,11 +111,11 @@
             self.running = 0
         self.ends.append(time.monotonic())
         self.close()
-        threading.Thread(target=self.come_back, daemon=True).start()
+        threading.Thread(target=self.restart_after_crash, daemon=True).start()
 
-    def come_back(self):
-        time.sleep(AWAY_S)
-        if self.fleet.over:
+    def restart_after_crash(self):
+        time.sleep(RESTART_S)
+        if self.fleet.stopping:
             return
         old = self.id
         if self.returns == "new":
@@ -138,7 +139,7 @@
 
 class CrashingFleet(LinkedFleet):
     def __init__(self, gateways, engines, returns="same", links=False):
-        self.over = False
+        self.stopping = False
         super().__init__()
         for i in range(engines):
             e = CrashingEngine(self, "p%d" % i, returns)
@@ -151,22 +152,22 @@
         return sorted(t for e in self.plain for t in e.ends)
 
     def began(self):
-        """(when, body) of each beginning of a request that crashes."""
+        """(when, body) of each beginning of a crashing request."""
         return sorted(t for e in self.plain for t in e.began)
 
     def stop(self):
-        self.over = True
+        self.stopping = True
         return super().stop()
 
 
-class Others(SteadyCallers):
-    """Callers with honest requests: half of them all send the same one."""
+class HarmlessCallers(SteadyCallers):
+    """Callers with harmless requests: half of them all send the same one."""
 
     def __init__(self, fleet, seed, path):
         super().__init__(fleet, seed, path, CALLERS)
 
     def call(self, number, n, dice):
-        """(is it the same one, was it served, when, status)"""
+        """(is the shared request, was served, start time, status)"""
         ident = "c%d-%d" % (number, n)
         same = number % 2 == 0
         body = SAME if same else b"body of " + ident.encode()
@@ -183,8 +184,8 @@
         return sum(mine) / len(mine) if mine else 0.0
 
 
-class Tries:
-    """The request, again and again, whatever becomes of it."""
+class CrashingCaller:
+    """Sends the crashing request again and again, whatever the answers."""
 
     def __init__(self, fleet, seed, path, every_s=EVERY_S, requests=1):
         self.fleet, self.path, self.ended = fleet, path, False
@@ -220,57 +221,57 @@
 
 
 class Course:
-    """What else happens, from the request's first try on."""
+    """Other faults, from the first try of the request on."""
 
     def __init__(self, fleet, name, seed, ends_awaited):
-        self.fleet, self.over = fleet, False
+        self.fleet, self.stopping = fleet, False
         self.ends_awaited = ends_awaited
         self.dice = random.Random("%s/course" % seed)
         self.thread = threading.Thread(target=getattr(self, name), daemon=True)
         self.thread.start()
 
     def stop(self):
-        self.over = True
+        self.stopping = True
         self.thread.join(15)
 
     def calm(self):
         pass
 
-    def third(self):
-        while len(self.fleet.ends()) < self.ends_awaited and not self.over:
+    def wait_third_end(self):
+        while len(self.fleet.ends()) < self.ends_awaited and not self.stopping:
             time.sleep(0.01)
 
-    def each(self, do, gap_s):
-        """Does it to one gateway after the other, over and over."""
-        self.third()
-        while not self.over:
+    def repeat_on_gateways(self, do, gap_s):
+        """Calls do(i) for one gateway i after the other, again and again."""
+        self.wait_third_end()
+        while not self.stopping:
             for i in range(len(self.fleet.gateways)):
-                if self.over:
+                if self.stopping:
                     return
                 do(i)
                 time.sleep(gap_s)
 
     def kills(self):
-        self.each(self.fleet.again, 1.0)
+        self.repeat_on_gateways(self.fleet.again, 1.0)
 
     def kill_all(self):
-        self.third()
+        self.wait_third_end()
         time.sleep(1.0)
         self.fleet.all_again()
 
     def freezes(self):
-        self.each(self.fleet.freeze, 0.3)
+        self.repeat_on_gateways(self.fleet.freeze, 0.3)
 
     def cuts(self):
-        self.each(self.fleet.cut, 0.3)
+        self.repeat_on_gateways(self.fleet.cut, 0.3)
 
     def alone(self):
-        while not self.over:
+        while not self.stopping:
             time.sleep(self.dice.uniform(0.4, 0.8))
             self.dice.choice(self.fleet.plain).crash()
 
     def herd(self):
-        while not self.over:
+        while not self.stopping:
             time.sleep(4.0)
             for e in self.fleet.plain:
                 e.crash()
@@ -283,27 +284,27 @@
         crashing = course not in ("alone", "herd") and not without
         with CrashingFleet(gateways, engines, returns,
                            links=course == "cuts") as fleet, Watch() as watch:
-            others = Others(fleet, seed, path)
+            others = HarmlessCallers(fleet, seed, path)
             time.sleep(BEGIN_S)
-            tries = Tries(fleet, seed, path, every,
-                          requests) if crashing else None
+            caller = CrashingCaller(fleet, seed, path, every,
+                                    requests) if crashing else None
             self.began_at = time.monotonic()
-            happens = Course(fleet, course, seed, 3 if crashing else 0)
+            faults = Course(fleet, course, seed, 3 if crashing else 0)
             time.sleep(seconds)
-            happens.stop()
-            if tries:
-                tries.stop()
+            faults.stop()
+            if caller:
+                caller.stop()
             others.stop()
             self.ends, self.began = fleet.ends(), fleet.began()
-            self.statuses = tries.statuses if tries else []
-            self.retry_after = tries.retry_after if tries else []
+            self.statuses = caller.statuses if caller else []
+            self.retry_after = caller.retry_after if caller else []
             self.unique, self.same = others.served(False), others.served(True)
             self.calls = len(others.done)
             self.bad = {}
             for _, good, _, status in others.done:
                 if not good:
                     self.bad[status] = self.bad.get(status, 0) + 1
-            third = self.ends[2] + CONTACT_S if len(self.ends) > 2 else None
+            third = self.ends[2] + SPREAD_S if len(self.ends) > 2 else None
             self.late_runs = self.late(requests)
             self.settled = others.served(False, third) if third else 1.0
             self.held = sum(" held request=" in fleet.log(n)
@@ -313,14 +314,14 @@
         assert not self.failures, self.failures
 
     def late(self, requests):
-        """Beginnings of the request that began latest most often."""
+        """Late beginnings of a request, for the request with the most of them."""
         late = []
         for i in range(requests):
             mine = [t for t, body in self.began
                     if body == CRASHES + b" %d" % i]
             if len(mine) > 2:
-                # it ends its engine CRASH_S after it begins there
-                third = mine[2] + CRASH_S + CONTACT_S
+                # the engine ends CRASH_S after the request begins there
+                third = mine[2] + CRASH_S + SPREAD_S
                 late.append([t for t in mine if t > third])
         return max(late, key=len, default=[])
 
--- a/tests/unit_budget.c
+++ b/tests/unit_budget.c
@@ -1,7 +1,7 @@
 /*
- * The retry budget of a whole fleet, as a model: gateways with a budget each,
- * whose retries arrive at engines at once or late. The rule is checked over
- * every window by what arrives there.
+ * Model of the retry budget of a whole fleet. Each gateway has a budget, and
+ * its retries arrive at engines at once or late. The bound (see qr_budget.c) is
+ * checked over every window, on the retries that arrive.
  */
 #include "unit_budget.h"
 
@@ -14,20 +14,20 @@
 #define STEP_MS 20
 #define WINDOW_MS 10000
 #define WINDOW (WINDOW_MS / STEP_MS)
-#define DAY (70000 / STEP_MS)
+#define STEPS (70000 / STEP_MS)
 #define RATIO 0.2
-#define GATEWAYS 34 /* a fleet of the usual size, and what clients send it */
+#define GATEWAYS 34 /* a fleet of the usual size, with the usual load */
 #define CALLS_S 650.0
 #define ALLOWANCE 102
-#define ALL 100000 /* retries wanted: more than any budget has */
-/* On its way at most: an engine's machine may stand still for as long. */
-#define LATE_MS 8000
+#define UNLIMITED 100000 /* retries wanted: more than any budget allows */
+/* Longest delay of a retry: an engine's machine may freeze for that long. */
+#define MAX_LATE_MS 8000
 
 typedef struct Gateway {
     QRBudget budget;
     uint64_t started_ms;
-    unsigned known; /* gateways, itself too; 0: it heard of nobody yet */
-    double owed;    /* calls, of the steps so far */
+    unsigned gateways_known; /* this one included; 0: none heard of */
+    double calls_due;        /* fraction of a call carried to the next step */
 } Gateway;
 
 typedef struct Fleet {
@@ -35,7 +35,7 @@
     unsigned n;
     double allowance;
     unsigned step;
-    unsigned calls[DAY], beyond[DAY]; /* sent by clients; arrived again */
+    unsigned calls[STEPS], retries[STEPS]; /* arrivals per step */
 } Fleet;
 
 static uint64_t now_ms(const Fleet *f)
@@ -43,14 +43,14 @@
     return 1000000 + (uint64_t)f->step * STEP_MS;
 }
 
-/* Its process is killed and runs again at once, or runs for the first time. */
+/* The gateway's process starts, or is killed and starts again at once. */
 static void restart(Fleet *f, unsigned i, unsigned known)
 {
     Gateway *g = &f->gateways[i];
 
     qr_budget_init(&g->budget, RATIO, WINDOW_MS);
     g->started_ms = now_ms(f);
-    g->known = known;
+    g->gateways_known = known;
 }
 
 static void restart_all(Fleet *f, unsigned known)
@@ -70,61 +70,65 @@
     return f;
 }
 
-static void calls(Fleet *f, unsigned i, double a_second)
+static void add_calls(Fleet *f, unsigned i, double a_second)
 {
     Gateway *g = &f->gateways[i];
 
-    for (g->owed += a_second * STEP_MS / 1000; g->owed >= 1; g->owed--) {
+    for (g->calls_due += a_second * STEP_MS / 1000; g->calls_due >= 1;
+         g->calls_due--) {
         f->calls[f->step]++;
         qr_budget_add_call(&g->budget, now_ms(f));
     }
 }
 
-/* Sends up to 'wanted' calls again, which arrive 'late_ms' later. */
-static void retries(Fleet *f, unsigned i, unsigned wanted, unsigned late_ms)
+/* Sends up to 'wanted' retries, which arrive 'late_ms' later. */
+static void take_retries(Fleet *f, unsigned i, unsigned wanted,
+                         unsigned late_ms)
 {
     Gateway *g = &f->gateways[i];
-    QRBudgetFleet facts = {f->allowance, g->known, now_ms(f) - g->started_ms};
-    double part = qr_budget_allowance_share(&g->budget, &facts);
+    QRBudgetFleet knowledge = {f->allowance, g->gateways_known,
+                               now_ms(f) - g->started_ms};
+    double part = qr_budget_allowance_share(&g->budget, &knowledge);
     unsigned at = f->step + late_ms / STEP_MS;
 
     while (wanted-- > 0 && qr_budget_take_retry(&g->budget, part, now_ms(f))) {
-        if (at < DAY)
-            f->beyond[at]++;
+        if (at < STEPS)
+            f->retries[at]++;
     }
 }
 
-/* Time passes, with as many calls and retries at each gateway. */
-static void pass(Fleet *f, unsigned ms, double a_second, unsigned wanted,
-                 unsigned late_ms)
+/* Runs the fleet for 'ms'. All gateways get the same load. */
+static void run_for(Fleet *f, unsigned ms, double a_second, unsigned wanted,
+                    unsigned late_ms)
 {
     for (unsigned end = f->step + ms / STEP_MS; f->step < end; f->step++) {
         for (unsigned i = 0; i < f->n; i++) {
-            calls(f, i, a_second / f->n);
-            retries(f, i, wanted, late_ms);
+            add_calls(f, i, a_second / f->n);
+            take_retries(f, i, wanted, late_ms);
         }
     }
 }
 
-static unsigned sum(const unsigned *list, int from, int to)
+static unsigned sum(const unsigned *list, int from, int until)
 {
     unsigned all = 0;
 
-    for (int i = MAX(from, 0); i < MIN(to, DAY); i++)
+    for (int i = MAX(from, 0); i < MIN(until, STEPS); i++)
         all += list[i];
     return all;
 }
 
-/* By how much the worst window passes what is allowed; frees the fleet. */
-static double fleet_worst(Fleet *f)
+/* Returns by how many retries the worst window exceeds the bound (negative if
+   none does), and frees the fleet. */
+static double free_and_get_excess(Fleet *f)
 {
     double worst = -INFINITY;
 
-    for (int t = 0; t < DAY; t++) {
+    for (int t = 0; t < STEPS; t++) {
         unsigned most =
             MAX(sum(f->calls, t, t + WINDOW), sum(f->calls, t - WINDOW, t));
         unsigned half = sum(f->calls, t - WINDOW / 2, t + WINDOW / 2);
-        double over = sum(f->beyond, t, t + WINDOW) - RATIO * MAX(most, half) -
+        double over = sum(f->retries, t, t + WINDOW) - RATIO * MAX(most, half) -
                       f->allowance;
 
         worst = MAX(worst, over);
@@ -135,131 +139,131 @@
 }
 
 /*
- * Seen: nothing else is wrong, and twice as much is sent again as may be.
- * Course: connections go silent, and from then on more calls want to be sent
- * again than may be; what the budget has goes out at once, and at once again
- * when that has slid out. Cause: the slice under way counts as a whole one, so
- * that no more than 9.5 s are looked back on at times.
+ * Guards against twice the allowed retries in one window. Connections go
+ * silent, and from then on more retries are wanted than allowed. The whole
+ * budget is spent at once, and again as soon as the first burst leaves the
+ * window. The fault was that the current slice counted as a whole one, which at
+ * times left only 9.5 s of a window.
  */
-START_TEST(budget_bursts_at_both_ends_of_a_window)
+START_TEST(budget_bursts_at_both_ends_of_window)
 {
     Fleet *f = fleet_new(GATEWAYS, ALLOWANCE);
 
-    pass(f, 20400, CALLS_S, 0, 0);
-    pass(f, 40000, CALLS_S, ALL, 0);
-    ck_assert_double_le(fleet_worst(f), 0);
+    run_for(f, 20400, CALLS_S, 0, 0);
+    run_for(f, 40000, CALLS_S, UNLIMITED, 0);
+    ck_assert_double_le(free_and_get_excess(f), 0);
 }
 END_TEST
 
 /*
- * Seen: twice the share of the calls. Course: gateways spend what they have
- * and are killed; their next runs get calls, and spend a share of these. Cause:
- * a run does not know what the one before it has spent.
+ * Guards against retries of twice the ratio. Gateways spend their budgets and
+ * are killed, and their next runs get calls and spend a share of these. A run
+ * does not know what the previous run has spent.
  */
-START_TEST(budget_restarts_forget_what_was_spent)
+START_TEST(budget_restarted_runs_share_a_window)
 {
     Fleet *f = fleet_new(GATEWAYS, ALLOWANCE);
 
-    pass(f, 20000, CALLS_S, 0, 0);
-    pass(f, 200, CALLS_S, ALL, 0);
+    run_for(f, 20000, CALLS_S, 0, 0);
+    run_for(f, 200, CALLS_S, UNLIMITED, 0);
     restart_all(f, GATEWAYS);
-    pass(f, 9000, CALLS_S, ALL, 0);
-    ck_assert_double_le(fleet_worst(f), 0);
+    run_for(f, 9000, CALLS_S, UNLIMITED, 0);
+    ck_assert_double_le(free_and_get_excess(f), 0);
 }
 END_TEST
 
 /*
- * Seen: retries beyond the allowance in a fleet with hardly any calls. Course:
- * processes are killed once a second. Cause: each run takes a part of the
- * allowance, however small, and nothing bounds the runs in a window.
+ * Guards against retries retries the allowance in a fleet with hardly any
+ * calls. Processes are killed once a second. Each run uses a share of the
+ * allowance, however small, and nothing limits the number of runs in a window.
  */
-START_TEST(budget_of_many_short_runs)
+START_TEST(budget_many_short_runs)
 {
     Fleet *f = fleet_new(GATEWAYS, ALLOWANCE);
 
     for (unsigned i = 0; i < 20; i++) {
-        pass(f, 1000, 1, ALL, 0);
+        run_for(f, 1000, 1, UNLIMITED, 0);
         restart_all(f, GATEWAYS);
     }
-    ck_assert_double_le(fleet_worst(f), 0);
+    ck_assert_double_le(free_and_get_excess(f), 0);
 }
 END_TEST
 
 /*
- * Seen: each gateway spends the whole allowance. Course: all start while no
- * connection among them works, and it stays so for longer than a window.
- * Cause: one that has heard of nobody takes itself for the only one.
+ * Guards against each gateway spending the whole allowance. All gateways start
+ * while no connection between them works, for longer than a window. The fault
+ * was that a gateway without known peers assumed that it was the only one.
  */
-START_TEST(budget_of_gateways_that_know_nobody)
+START_TEST(budget_gateways_without_peers)
 {
     Fleet *f = fleet_new(GATEWAYS, ALLOWANCE);
 
     restart_all(f, 0);
-    pass(f, 20000, CALLS_S, 0, 0);
-    pass(f, 1000, CALLS_S, ALL, 0);
-    ck_assert_double_le(fleet_worst(f), 0);
+    run_for(f, 20000, CALLS_S, 0, 0);
+    run_for(f, 1000, CALLS_S, UNLIMITED, 0);
+    ck_assert_double_le(free_and_get_excess(f), 0);
 }
 END_TEST
 
 /*
- * Seen: 1.4 of the allowance. Course: members are parted for good, and half of
- * the gateways start again on either side. Cause: each divides the allowance
- * by those that it sees.
+ * Guards against a sum of 1.4 x the allowance. A permanent network partition
+ * splits the fleet in halves, and the gateways on either side restart. Each
+ * divides the allowance by the number of gateways that it knows.
  */
-START_TEST(budget_of_gateways_that_know_half)
+START_TEST(budget_gateways_that_know_half)
 {
     Fleet *f = fleet_new(GATEWAYS, ALLOWANCE);
 
     restart_all(f, GATEWAYS / 2);
-    pass(f, 30000, 1, 0, 0);
-    pass(f, 1000, 1, ALL, 0);
-    ck_assert_double_le(fleet_worst(f), 0);
+    run_for(f, 30000, 1, 0, 0);
+    run_for(f, 1000, 1, UNLIMITED, 0);
+    ck_assert_double_le(free_and_get_excess(f), 0);
 }
 END_TEST
 
 /*
- * Seen: twice as many arrivals as retries in any window. Course: links lose
- * packets, and what was sent again arrives when the link is sound, with what
- * is sent then; or a first sending arrives after the one that replaced it.
- * Cause: a retry is counted when it is sent.
+ * Guards against twice as many retries arriving in a window as are sent in any.
+ * Links lose packets, and retries arrive once the link has recovered, together
+ * with those sent then; or the first attempt arrives after its retry. A retry
+ * is counted when it is sent.
  */
-START_TEST(budget_of_retries_that_arrive_late)
+START_TEST(budget_late_retries)
 {
     Fleet *f = fleet_new(GATEWAYS, ALLOWANCE);
 
-    pass(f, 20400, CALLS_S, 0, 0);
-    pass(f, 500, CALLS_S, ALL, LATE_MS);
-    pass(f, 9600, CALLS_S, 0, 0);
-    pass(f, 1000, CALLS_S, ALL, 0);
-    ck_assert_double_le(fleet_worst(f), 0);
+    run_for(f, 20400, CALLS_S, 0, 0);
+    run_for(f, 500, CALLS_S, UNLIMITED, MAX_LATE_MS);
+    run_for(f, 9600, CALLS_S, 0, 0);
+    run_for(f, 1000, CALLS_S, UNLIMITED, 0);
+    ck_assert_double_le(free_and_get_excess(f), 0);
 }
 END_TEST
 
 /*
- * Seen: more than a share of the calls of any window. Course: two peaks of
- * calls, a window apart, and all retries at the end of the second. Cause: the
- * window that ends now may hold twice the calls of those that the rule takes.
+ * Guards against retries retries the ratio of the calls of any window. Two
+ * peaks of calls come a window apart, and all retries come at the end of the
+ * second. The window that ends then can hold twice the calls of the windows in
+ * the bound.
  */
-START_TEST(budget_of_two_peaks_of_calls)
+START_TEST(budget_two_call_peaks)
 {
     Fleet *f = fleet_new(GATEWAYS, ALLOWANCE);
 
-    pass(f, 15000, 1, 0, 0);
-    pass(f, 1000, 10 * CALLS_S, 0, 0);
-    pass(f, 7400, 1, 0, 0);
-    pass(f, 1000, 10 * CALLS_S, 0, 0);
-    pass(f, 500, 1, ALL, 0);
-    ck_assert_double_le(fleet_worst(f), 0);
+    run_for(f, 15000, 1, 0, 0);
+    run_for(f, 1000, 10 * CALLS_S, 0, 0);
+    run_for(f, 7400, 1, 0, 0);
+    run_for(f, 1000, 10 * CALLS_S, 0, 0);
+    run_for(f, 500, 1, UNLIMITED, 0);
+    ck_assert_double_le(free_and_get_excess(f), 0);
 }
 END_TEST
 
 /*
- * Seen: twice the share of the calls. Course: all calls come to one half of
- * the gateways, which spends its share; then they come to the other half.
- * Cause: the share of the first is spent, that of the second grows anew with
- * each call, and both fall into one window.
+ * Guards against retries of twice the ratio. All calls come to one half of the
+ * gateways, which spends its budget, and then to the other half. The budget of
+ * the other half grows with each call, and both are spent in one window.
  */
-START_TEST(budget_of_calls_that_move)
+START_TEST(budget_calls_move_between_gateways)
 {
     Fleet *f = fleet_new(GATEWAYS, ALLOWANCE);
 
@@ -268,16 +272,18 @@
             bool first = i < f->n / 2;
 
             if (first == (ms < 20000))
-                calls(f, i, 2 * CALLS_S / f->n);
-            retries(f, i, first ? (ms >= 19800 ? ALL : 0) : ALL, 0);
+                add_calls(f, i, 2 * CALLS_S / f->n);
+            take_retries(f, i,
+                         first ? (ms >= 19800 ? UNLIMITED : 0) : UNLIMITED, 0);
         }
     }
-    ck_assert_double_le(fleet_worst(f), 0);
+    ck_assert_double_le(free_and_get_excess(f), 0);
 }
 END_TEST
 
-/* 34 become 50, and all want more retries than there are, with few calls. */
-START_TEST(budget_of_gateways_that_join)
+/* A fleet grows from 34 gateways to 50, with few calls, and all want more
+   retries than the budget allows. */
+START_TEST(budget_gateways_join)
 {
     Fleet *f = fleet_new(50, ALLOWANCE);
 
@@ -287,34 +293,34 @@
                 restart(f, i, 50);
             if (ms < 30000 && i >= GATEWAYS)
                 continue;
-            f->gateways[i].known = ms < 30000 ? GATEWAYS : 50;
-            calls(f, i, 0.1);
-            retries(f, i, ALL, 0);
+            f->gateways[i].gateways_known = ms < 30000 ? GATEWAYS : 50;
+            add_calls(f, i, 0.1);
+            take_retries(f, i, UNLIMITED, 0);
         }
     }
-    ck_assert_double_le(fleet_worst(f), 0);
+    ck_assert_double_le(free_and_get_excess(f), 0);
 }
 END_TEST
 
-/* A lone gateway may send one call again at once, in each of eight runs. */
-START_TEST(budget_of_a_lone_gateway_that_starts)
+/* A lone gateway may retry once at its start, in each of eight runs. */
+START_TEST(budget_lone_gateway_starts)
 {
     Fleet *f = fleet_new(1, 100);
 
-    pass(f, 14000, 1, ALL, 0);
+    run_for(f, 14000, 1, UNLIMITED, 0);
     for (unsigned i = 0; i < 8; i++) {
-        unsigned before = sum(f->beyond, 0, DAY);
+        unsigned before = sum(f->retries, 0, STEPS);
 
         restart_all(f, 1);
-        pass(f, 1000, 1, ALL, 0);
-        ck_assert_uint_gt(sum(f->beyond, 0, DAY), before);
+        run_for(f, 1000, 1, UNLIMITED, 0);
+        ck_assert_uint_gt(sum(f->retries, 0, STEPS), before);
     }
-    ck_assert_double_le(fleet_worst(f), 0);
+    ck_assert_double_le(free_and_get_excess(f), 0);
 }
 END_TEST
 
-/* What a fleet of one, and a small one, may still send again. */
-START_TEST(budget_leaves_enough)
+/* The budget still allows a single gateway and small fleets enough retries. */
+START_TEST(budget_allows_enough)
 {
     static const unsigned sizes[] = {1, 6, 34};
 
@@ -322,97 +328,101 @@
         Fleet *f = fleet_new(sizes[i], 100);
         unsigned taken;
 
-        pass(f, 30000, CALLS_S, 0, 0);
-        pass(f, STEP_MS, CALLS_S, ALL, 0);
-        taken = sum(f->beyond, 0, DAY);
-        /* one call in ten of a window less two slices, and four tenths of
-           the allowance; each gateway rounds down */
+        run_for(f, 30000, CALLS_S, 0, 0);
+        run_for(f, STEP_MS, CALLS_S, UNLIMITED, 0);
+        taken = sum(f->retries, 0, STEPS);
+        /* 0.1 x the calls of a window less two slices, plus 0.4 of the
+           allowance; each gateway rounds down */
         ck_assert_uint_ge(taken, (unsigned)(CALLS_S * 62 / 64) + 40 - sizes[i]);
-        ck_assert_double_le(fleet_worst(f), 0);
+        ck_assert_double_le(free_and_get_excess(f), 0);
     }
 }
 END_TEST
 
-static unsigned draw(uint64_t *random, unsigned below)
+static unsigned random_below(uint64_t *random, unsigned below)
 {
     *random = qr_hash64(random, sizeof(*random), 3);
     return (unsigned)(*random >> 16) % below;
 }
 
-/* What is so for some seconds of a day. */
+/* Conditions that hold for some seconds of a random course. */
 typedef struct Phase {
     double a_second;
-    unsigned wanted, late_ms, late_in_8, kills, moved; /* calls of these */
+    unsigned wanted, late_ms, late_in_8, kills,
+        moved; /* kills: processes killed at the start; moved: gateways without
+                  calls */
 } Phase;
 
-static Phase phase_draw(uint64_t *random, const Fleet *f)
+static Phase random_phase(uint64_t *random, const Fleet *f)
 {
     static const double loads[] = {0.02, 0.5, 1, 1, 1, 3};
-    static const unsigned wants[] = {0, 0, 1, ALL, ALL};
+    static const unsigned wants[] = {0, 0, 1, UNLIMITED, UNLIMITED};
     Phase p = {
-        .a_second = CALLS_S * loads[draw(random, G_N_ELEMENTS(loads))],
-        .wanted = wants[draw(random, G_N_ELEMENTS(wants))],
-        .late_ms = draw(random, 3) ? 0 : draw(random, LATE_MS),
-        .late_in_8 = 1 + draw(random, 3),
+        .a_second = CALLS_S * loads[random_below(random, G_N_ELEMENTS(loads))],
+        .wanted = wants[random_below(random, G_N_ELEMENTS(wants))],
+        .late_ms =
+            random_below(random, 3) ? 0 : random_below(random, MAX_LATE_MS),
+        .late_in_8 = 1 + random_below(random, 3),
     };
 
-    if (draw(random, 4) == 0)
-        p.kills = draw(random, 2) ? f->n : 1 + f->n / 6;
-    if (draw(random, 4) == 0)
+    if (random_below(random, 4) == 0)
+        p.kills = random_below(random, 2) ? f->n : 1 + f->n / 6;
+    if (random_below(random, 4) == 0)
         p.moved = f->n / 4;
     return p;
 }
 
-/* Gateways know seven in ten of the others at least. */
-static unsigned known_draw(uint64_t *random, unsigned n)
+/* Returns how many gateways one knows: at least seven in ten. */
+static unsigned random_known(uint64_t *random, unsigned n)
 {
     unsigned least = (n * 7 + 9) / 10;
 
-    return least + draw(random, n - least + 1);
+    return least + random_below(random, n - least + 1);
 }
 
-static double random_day(unsigned n, double allowance, uint64_t seed)
+static double random_course(unsigned n, double allowance, uint64_t seed)
 {
     Fleet *f = fleet_new(n, allowance);
     uint64_t random = seed;
 
-    while (f->step < DAY) {
-        Phase p = phase_draw(&random, f);
-        unsigned end = f->step + (200 + draw(&random, 6000)) / STEP_MS;
+    while (f->step < STEPS) {
+        Phase p = random_phase(&random, f);
+        unsigned end = f->step + (200 + random_below(&random, 6000)) / STEP_MS;
 
         for (unsigned i = 0; i < p.kills; i++) {
-            unsigned which = p.kills == n ? i : draw(&random, n);
+            unsigned which = p.kills == n ? i : random_below(&random, n);
 
-            restart(f, which, known_draw(&random, n));
+            restart(f, which, random_known(&random, n));
         }
-        for (; f->step < MIN(end, DAY); f->step++) {
+        for (; f->step < MIN(end, STEPS); f->step++) {
             for (unsigned i = 0; i < n; i++) {
-                bool late = draw(&random, 8) < p.late_in_8;
+                bool late = random_below(&random, 8) < p.late_in_8;
 
-                calls(f, i, i < p.moved ? 0 : p.a_second / (n - p.moved));
-                retries(f, i, p.wanted, late ? p.late_ms : 0);
+                add_calls(f, i, i < p.moved ? 0 : p.a_second / (n - p.moved));
+                take_retries(f, i, p.wanted, late ? p.late_ms : 0);
             }
         }
     }
-    return fleet_worst(f);
+    return free_and_get_excess(f);
 }
 
-/* Load, silence, kills, late arrivals, partial knowledge: all at random. */
-START_TEST(budget_of_random_days)
+/* Random load, retries, kills, late arrivals and knowledge of peers. */
+START_TEST(budget_random_courses)
 {
     static const unsigned sizes[] = {1, 6, 34, 42, 380};
     static const double allowances[] = {100, 100, 102, 170, 242};
-    unsigned n = sizes[_i], broken = 0, days = n > 100 ? 8 : 40;
+    unsigned n = sizes[_i], violations = 0, courses = n > 100 ? 8 : 40;
     double worst = -INFINITY;
 
-    for (unsigned seed = 1; seed <= days; seed++) {
-        double over = random_day(n, allowances[_i], seed);
+    for (unsigned seed = 1; seed <= courses; seed++) {
+        double over = random_course(n, allowances[_i], seed);
 
         worst = MAX(worst, over);
-        broken += over > 0;
+        violations += over > 0;
     }
-    ck_assert_msg(broken == 0, "gateways=%u: %u of %u days, by %.0f at most", n,
-                  broken, days, worst);
+    ck_assert_msg(violations == 0,
+                  "gateways=%u: %u of %u courses, by %.0f at most", n,
+                  violations, courses, worst);
 }
 END_TEST
 
@@ -421,17 +431,17 @@
     TCase *t = tcase_create("budget");
 
     tcase_set_timeout(t, 300);
-    tcase_add_test(t, budget_bursts_at_both_ends_of_a_window);
-    tcase_add_test(t, budget_restarts_forget_what_was_spent);
-    tcase_add_test(t, budget_of_many_short_runs);
-    tcase_add_test(t, budget_of_gateways_that_know_nobody);
-    tcase_add_test(t, budget_of_gateways_that_know_half);
-    tcase_add_test(t, budget_of_retries_that_arrive_late);
-    tcase_add_test(t, budget_of_two_peaks_of_calls);
-    tcase_add_test(t, budget_of_calls_that_move);
-    tcase_add_test(t, budget_of_gateways_that_join);
-    tcase_add_test(t, budget_of_a_lone_gateway_that_starts);
-    tcase_add_test(t, budget_leaves_enough);
-    tcase_add_loop_test(t, budget_of_random_days, 0, 5);
+    tcase_add_test(t, budget_bursts_at_both_ends_of_window);
+    tcase_add_test(t, budget_restarted_runs_share_a_window);
+    tcase_add_test(t, budget_many_short_runs);
+    tcase_add_test(t, budget_gateways_without_peers);
+    tcase_add_test(t, budget_gateways_that_know_half);
+    tcase_add_test(t, budget_late_retries);
+    tcase_add_test(t, budget_two_call_peaks);
+    tcase_add_test(t, budget_calls_move_between_gateways);
+    tcase_add_test(t, budget_gateways_join);
+    tcase_add_test(t, budget_lone_gateway_starts);
+    tcase_add_test(t, budget_allows_enough);
+    tcase_add_loop_test(t, budget_random_courses, 0, 5);
     return t;
 }
--- a/tests/unit_budget.h
+++ b/tests/unit_budget.h
@@ -1,5 +1,5 @@
 /*
- * Unit tests of the retry budget of a whole fleet.
+ * Unit tests of the retry budget, with a model of a whole fleet.
  */
 #ifndef UNIT_BUDGET_H
 #define UNIT_BUDGET_H
--- a/tests/unit_suspects.h
+++ b/tests/unit_suspects.h
@@ -1,5 +1,5 @@
 /*
- * Unit tests and a model of requests that may crash engines.
+ * Unit tests and a model of the detection of requests that crash engines.
  */
 #ifndef UNIT_SUSPECTS_H
 #define UNIT_SUSPECTS_H
