--- a/src/gateway/qr_budget.c
+++ b/src/gateway/qr_budget.c
@@ -1,28 +1,24 @@
 /*
- * Retry budget over a sliding window, with a bound on the sum over all
- gateways.
+ * Retry budget over a sliding window, and its bound over all gateways.
  *
  * The bound: in any window, the retries that arrive at engines from all
- gateways
- * are at most the ratio x the calls + the allowance. The calls are those of
- that
- * window or of the window before, whichever are more. No gateway knows the
- * retries of the others, nor those of its own previous run (a run is one
- process
- * from start to exit). Each gateway therefore uses half of the bound:
+ * gateways are at most the ratio x the calls + the allowance. The calls are
+ * those of that window or of the window before, whichever are more. No gateway
+ * knows the retries of the others, nor those of its own previous run (a run is
+ * one process from start to exit). Each gateway therefore uses half of the
+ * bound:
  *
  * - A run retries at most half the ratio x its own calls of the last window.
  *   These calls came in the window under consideration or in the one before,
  *   and each call counts for one run only. The sum over all runs is half the
- *   ratio x the calls of both windows, which is at most the ratio x the greater
- *   number, however runs end and calls move between gateways.
+ *   ratio x the calls of both windows, which is at most the ratio x the
+ *   greater number, however runs end and calls move between gateways.
  * - A run uses its share of 0.4 of the allowance once the retries of the
  *   previous run are a window old. Until then the run uses its share of 0.1,
  *   divided by eight runs. If there are other gateways, no run uses any before
  *   two leases (2 s) of listening, which leaves at most six runs per window.
- The
- *   sum is half of the allowance if each gateway knows all gateways, and the
- *   whole allowance if each knows half of them.
+ *   The sum is half of the allowance if each gateway knows all gateways, and
+ *   the whole allowance if each knows half of them.
  * - Retries that arrive up to a window late coincide with those sent a window
  *   later. The sum is twice the half, if calls come evenly and each gateway
  *   knows all gateways.
--- a/src/gateway/qr_requests.c
+++ b/src/gateway/qr_requests.c
@@ -2,10 +2,9 @@
  * Requests that may crash engines: detection by this gateway.
  *
  * A connection that breaks during a call does not prove that the engine has
- * ended: engines cut answers and links break. The gateway therefore opens a new
- * connection to the engine at once. This takes one round trip and is free if
- the
- * engine is running, since the next call uses the connection. A refused
+ * ended: engines cut answers and links break. The gateway therefore opens a
+ * new connection to the engine at once. This takes one round trip and is free
+ * if the engine is running, since the next call uses the connection. A refused
  * connection means that the engine has ended. If the machine does not respond,
  * the engine counts as ended when its record is removed or has a later start.
  */
--- a/src/gateway/qr_requests.h
+++ b/src/gateway/qr_requests.h
@@ -30,8 +30,7 @@
     uint64_t next_sweep_ms;
 } QRRequests;
 
-/* A call whose connection to the engine broke before the answer was complete.
- */
+/* A call whose connection broke before the engine's answer was complete. */
 typedef struct QRInterruptedCall {
     const char *id;
     const QRFingerprint *fingerprint;
@@ -54,7 +53,7 @@
 bool qr_requests_has_suspects(const QRGateway *g);
 /* Returns whether the request may be sent now. */
 QRSuspicion qr_requests_check(QRGateway *g, const QRFingerprint *f);
-/* Returns how long the request stays held, in ms; 0: the request is not held.
+/* Returns for how many ms the request stays held; 0: the request is not held.
  */
 uint64_t qr_requests_hold_left_ms(const QRGateway *g, const QRFingerprint *f);
 /* A sending of a suspect begins, or is over. */
--- a/src/gateway/qr_suspects.h
+++ b/src/gateway/qr_suspects.h
@@ -59,8 +59,7 @@
    attributed to a held request. */
 QRSuspect *qr_suspects_add_end(QRSuspects *t, const QRFingerprint *f,
                                const QRRunEnd *end, uint64_t now_ms);
-/* Decides on holds for the suspects with new ends. To be called at each tick.
- */
+/* Decides on holds for suspects with new ends. To be called at each tick. */
 void qr_suspects_evaluate(QRSuspects *t, uint64_t now_ms);
 /* Whether this gateway itself detected the suspect's last end. */
 bool qr_suspect_last_end_is_local(const QRSuspect *s);
--- a/tests/test_crashing_request.py
+++ b/tests/test_crashing_request.py
@@ -7,7 +7,7 @@
 new id, and the gateways' own retries send it to the next engine within a millisecond.
 Counting by call id, by engine or per gateway does not detect this: a gateway has to
 recognise the request by its content, to record which requests were running when an
-engine ended, and to share that. Before this, the logs of such a run showed 13 tries
+engine ended, and to share that. Without that, the logs of such a run showed 13 tries
 under 13 ids, none of them answered; 12 of 14 engine ends had a try running.
 """
 import json
--- a/tests/unit_budget.c
+++ b/tests/unit_budget.c
@@ -142,8 +142,8 @@
  * Guards against twice the allowed retries in one window. Connections go
  * silent, and from then on more retries are wanted than allowed. The whole
  * budget is spent at once, and again as soon as the first burst leaves the
- * window. The fault was that the current slice counted as a whole one, which at
- * times left only 9.5 s of a window.
+ * window. A budget that counts the current slice as a
+ * whole one covers only 9.5 s of a window at times.
  */
 START_TEST(budget_bursts_at_both_ends_of_window)
 {
@@ -173,7 +173,7 @@
 END_TEST
 
 /*
- * Guards against retries retries the allowance in a fleet with hardly any
+ * Guards against retries beyond the allowance in a fleet with hardly any
  * calls. Processes are killed once a second. Each run uses a share of the
  * allowance, however small, and nothing limits the number of runs in a window.
  */
@@ -191,8 +191,8 @@
 
 /*
  * Guards against each gateway spending the whole allowance. All gateways start
- * while no connection between them works, for longer than a window. The fault
- * was that a gateway without known peers assumed that it was the only one.
+ * while no connection between them works, for longer than a window. A
+ * gateway that has heard of no other must not divide the allowance by one.
  */
 START_TEST(budget_gateways_without_peers)
 {
@@ -240,7 +240,7 @@
 END_TEST
 
 /*
- * Guards against retries retries the ratio of the calls of any window. Two
+ * Guards against retries beyond the ratio of the calls of any window. Two
  * peaks of calls come a window apart, and all retries come at the end of the
  * second. The window that ends then can hold twice the calls of the windows in
  * the bound.
--- a/tests/unit_suspects.c
+++ b/tests/unit_suspects.c
@@ -284,8 +284,8 @@
 
 /*
  * The model: gateways in front of engines that crash when they run one
- * particular request, or spontaneously. Harmless requests arrive at random, and
- * one of them arrives at every step.
+ * particular request, or spontaneously. At each step, one new harmless request
+ * and the frequent one arrive at random gateways.
  */
 #define GATEWAYS 4
 #define ENGINES 12
@@ -295,7 +295,7 @@
 #define RESTART_MS 1500
 #define MESSAGES 4096
 #define CRASHING 1 /* the request that crashes engines */
-#define FREQUENT 2 /* the request that arrives at every step */
+#define FREQUENT 2 /* the harmless request that arrives at every step */
 
 typedef struct Call {
     unsigned request, gateway, engine;
