--- a/src/gateway/qr_gateway.c
+++ b/src/gateway/qr_gateway.c
@@ -110,8 +110,8 @@
     if (g->metrics)
         qr_server_tick(g->metrics, now);
     qr_peers_tick(g->peers, now);
-    qr_gateway_check_sidecars(g, now);
-    qr_gateway_check_loads(g, now);
+    qr_gateway_expire_sidecars(g, now);
+    qr_gateway_expire_loads(g, now);
     qr_gateway_check_lapsed(g);
     if (now >= g->sweep_ms) {
         g->sweep_ms = now + SWEEP_MS;
@@ -181,7 +181,7 @@
             signum, g->relays->len, qr_server_connections(g->callers));
     g->stopping_ms = MAX(qr_gateway_now(g), 1);
     qr_server_drain(g->callers);
-    qr_gateway_tell_leaving(g);
+    qr_gateway_send_leaving(g);
 }
 
 /* Takes what may change while running; addresses stay as they are. */
@@ -306,7 +306,8 @@
                               : g->started_ms + HOLD_MS +
                                     qr_hash_str(set->host, g->incarnation) %
                                         HOLD_SPREAD_MS;
-    qr_operator_init(&g->operator, g->platform, qr_gateway_operator_news, g);
+    qr_operator_init(&g->operator, g->platform,
+                     qr_gateway_forward_operator_record, g);
     qr_engines_init(&g->engines);
     g->engine_changes = qr_gateway_changes_new();
     qr_members_init(&g->members);
--- a/src/gateway/qr_gateway.h
+++ b/src/gateway/qr_gateway.h
@@ -144,10 +144,10 @@
 extern const QRServerHandlers qr_gateway_metrics_handlers;
 
 /* An operator's record that is news here goes on to those who follow us. */
-void qr_gateway_operator_news(void *owner, const QRStoreRecord *r);
+void qr_gateway_forward_operator_record(void *owner, const QRStoreRecord *r);
 /* A gateway said what it knows of the operator's records. */
-void qr_gateway_peer_knows(QRGateway *g, QRFleetMember *member,
-                           const QRKnowledge *known);
+void qr_gateway_note_peer_knowledge(QRGateway *g, QRFleetMember *member,
+                                    const QRKnowledge *known);
 /* Asks one that knows more, when due. */
 void qr_gateway_catch_up(QRGateway *g, uint64_t now_ms);
 /*
@@ -155,24 +155,25 @@
  * told us: what we hear them on works, what we ask on does not, or we have
  * nothing to ask on.
  */
-bool qr_gateway_is_untold(const QRGateway *g, uint64_t now_ms);
+bool qr_gateway_catch_up_is_overdue(const QRGateway *g, uint64_t now_ms);
 /* Whether a gateway is of our region. */
-bool qr_gateway_is_near(const QRGateway *g, const QRFleetMember *m);
+bool qr_gateway_is_same_region(const QRGateway *g, const QRFleetMember *m);
 /* How gladly a gateway is asked, the least first: one of our region, then any,
    by what 'dice' makes of its name. */
-uint64_t qr_gateway_preference(const QRGateway *g, const QRFleetMember *m,
-                               uint64_t dice);
+uint64_t qr_gateway_peer_rank(const QRGateway *g, const QRFleetMember *m,
+                              uint64_t dice);
 /* Gateways of our region that ask other regions for 'what' before we do. */
-unsigned qr_gateway_near_before(const QRGateway *g, uint64_t what,
+unsigned qr_gateway_region_rank(const QRGateway *g, uint64_t what,
                                 uint64_t now_ms);
 /* Gateways that are known and stay, this one too. */
 unsigned qr_gateway_count(const QRGateway *g);
 /* Asks one that knows more gateways, when due. */
-void qr_gateway_meet(QRGateway *g, uint64_t now_ms);
+void qr_gateway_discover(QRGateway *g, uint64_t now_ms);
 /* Tells one that asked which gateways there are. */
-void qr_gateway_introduce(const QRGateway *g, QRPeerConn *peer);
+void qr_gateway_send_members(const QRGateway *g, QRPeerConn *peer);
 /* Operator's records that we asked another gateway for. */
-void qr_gateway_operator_heard(QRGateway *g, const Qr__Fleet__Records *records);
+void qr_gateway_take_operator_records(QRGateway *g,
+                                      const Qr__Fleet__Records *records);
 /* An engine's record, from the store or from a gateway that reads it. */
 void qr_gateway_engine_record(QRGateway *g, const QRStoreRecord *r);
 /* Takes engines for gone whose records lapsed and did not come back. */
@@ -223,22 +224,22 @@
 void qr_gateway_share_records(QRGateway *g, const QRFleetMember *from,
                               const Qr__Fleet__Records *records);
 /* What another gateway said at its heartbeat. */
-void qr_gateway_load_told(QRGateway *g, QRFleetMember *member,
+void qr_gateway_take_load(QRGateway *g, QRFleetMember *member,
                           const Qr__Fleet__Load *load);
 /* Forgets the load of gateways that have told none lately. */
-void qr_gateway_check_loads(QRGateway *g, uint64_t now_ms);
+void qr_gateway_expire_loads(QRGateway *g, uint64_t now_ms);
 /* Tells peers our load and what we know, when due. */
 void qr_gateway_heartbeat(QRGateway *g, uint64_t now_ms);
 /*
  * An engine leaves, or stays after all: the sidecar beside it will soon be no
  * source of weights.
  */
-void qr_gateway_sidecar_leaves(QRGateway *g, const char *engine_address,
-                               bool leaves);
+void qr_gateway_set_sidecar_leaving(QRGateway *g, const char *engine_address,
+                                    bool leaves);
 /* Drops sidecars that have been silent for too long. */
-void qr_gateway_check_sidecars(QRGateway *g, uint64_t now_ms);
+void qr_gateway_expire_sidecars(QRGateway *g, uint64_t now_ms);
 /* Sends our word to every gateway: we leave, or still stay. */
-void qr_gateway_tell_leaving(QRGateway *g);
+void qr_gateway_send_leaving(QRGateway *g);
 /*
  * The oldest version that calls for 'service' may begin on, 'margin_ms' before
  * the bound of a newer one already; 0: any.
--- a/src/gateway/qr_gateway_beliefs.c
+++ b/src/gateway/qr_gateway_beliefs.c
@@ -103,7 +103,7 @@
     qr_logf(QR_LEVEL_INFO, "engines", "gone engine=%s", e->record->id);
     qr_requests_engine_over(g, e->record->id);
     if (!qr_engines_at(&g->engines, e->record->address))
-        qr_gateway_sidecar_leaves(g, e->record->address, true);
+        qr_gateway_set_sidecar_leaving(g, e->record->address, true);
 }
 
 /*
@@ -247,7 +247,7 @@
                 QR_POSITION_ARGS(r->position));
         qr_gateway_engine_changed(g, r, record->draining);
     }
-    qr_gateway_sidecar_leaves(g, record->address, record->draining);
+    qr_gateway_set_sidecar_leaving(g, record->address, record->draining);
 }
 
 static void engines_record(void *owner, const QRStoreRecord *r)
--- a/src/gateway/qr_gateway_catchup.c
+++ b/src/gateway/qr_gateway_catchup.c
@@ -1,32 +1,35 @@
 /*
- * Operator's records from other gateways.
+ * Fetches the operator's records from other gateways.
  *
- * Each gateway tells by hello and heartbeat which versions it knows. One that
- * is behind asks one of those that know more, and then the next: were all
- * to tell it, the same configuration would come from each.
+ * Each hello and heartbeat carries the versions that its sender knows. A
+ * gateway that is behind requests records from one gateway that knows more, and
+ * then from the next. If all gateways sent records unasked, the same
+ * configuration would arrive from each.
  *
- * A configuration is long, and the links between regions are narrow. So one of
- * its own region is asked if any knows more; gateways of other regions are
- * asked by the first of the region, and by the next ones only when that one
- * still does not know after a moment.
+ * A configuration is long and the links between regions are narrow. A gateway
+ * of the same region is asked first. Other regions are asked by one gateway of
+ * a region at a time, and by the next one only if the records have not arrived
+ * after REMOTE_FETCH_STAGGER_MS.
  */
 #include "qr_gateway.h"
 
 #include <string.h>
 
-#define BEHIND_MS 100 /* the store may take so long to tell us itself */
-/* A configuration of a few thousand routes, compressed, on a busy link. */
-#define ASK_AGAIN_MS 500
-/* For the answer to one that asked another region, and the heartbeat by which
-   its neighbours learn of it. */
-#define FAR_TURN_MS 300
-/* Behind for so long though it could ask three times, a gateway reads the
-   store; those of a region by turns, so that the first can tell the others. */
-#define UNTOLD_MOST_MS 1500
-/* A few others are asked since when a version is named, one after the other:
-   most have run for longer than we have. */
-#define AGES_ASKED_MOST 4
-#define AGES_AGAIN_MS 200 /* a round trip between regions, on a busy link */
+#define STORE_READ_DELAY_MS 100 /* for this gateway's own read */
+/* Time for a compressed configuration of a few thousand routes on a busy link.
+ */
+#define FETCH_RETRY_MS 500
+/* Time for the answer from another region and for the heartbeat that announces
+   the records to the other gateways of this region. */
+#define REMOTE_FETCH_STAGGER_MS 300
+/* A gateway that is behind for this long, enough for three requests, reads the
+   store. Gateways of a region do that one after the other: the first one can
+   send the records to the rest. */
+#define CATCH_UP_TIMEOUT_MS 1500
+/* A few gateways are asked one after the other for the time at which a version
+   was named: most have run for longer than this one. */
+#define AGE_REQUESTS_MAX 4
+#define AGE_RETRY_MS 200 /* round trip between regions on a busy link */
 
 static bool knows_more(const QRGateway *g, const QRFleetMember *m)
 {
@@ -35,28 +38,28 @@
     return qr_knowledge_exceeds(&m->known, &own);
 }
 
-void qr_gateway_peer_knows(QRGateway *g, QRFleetMember *member,
-                           const QRKnowledge *known)
+void qr_gateway_note_peer_knowledge(QRGateway *g, QRFleetMember *member,
+                                    const QRKnowledge *known)
 {
     member->known = *known;
     if (knows_more(g, member) && g->behind_ms == 0)
         g->behind_ms = MAX(qr_gateway_now(g), 1);
 }
 
-bool qr_gateway_is_near(const QRGateway *g, const QRFleetMember *m)
+bool qr_gateway_is_same_region(const QRGateway *g, const QRFleetMember *m)
 {
     return g_strcmp0(m->region, g->set->region) == 0;
 }
 
-uint64_t qr_gateway_preference(const QRGateway *g, const QRFleetMember *m,
-                               uint64_t dice)
+uint64_t qr_gateway_peer_rank(const QRGateway *g, const QRFleetMember *m,
+                              uint64_t dice)
 {
-    uint64_t any = qr_hash_str(m->name, dice) >> 1;
+    uint64_t hash = qr_hash_str(m->name, dice) >> 1;
 
-    return qr_gateway_is_near(g, m) ? any : any | UINT64_C(1) << 63;
+    return qr_gateway_is_same_region(g, m) ? hash : hash | UINT64_C(1) << 63;
 }
 
-unsigned qr_gateway_near_before(const QRGateway *g, uint64_t what,
+unsigned qr_gateway_region_rank(const QRGateway *g, uint64_t what,
                                 uint64_t now_ms)
 {
     g_autoptr(GPtrArray) list =
@@ -67,30 +70,31 @@
     for (unsigned i = 0; i < list->len; i++) {
         const QRFleetMember *m = list->pdata[i];
 
-        n += qr_gateway_is_near(g, m) &&
+        n += qr_gateway_is_same_region(g, m) &&
              qr_member_alive(m, (uint64_t)g->set->lease_ms, now_ms) &&
              qr_hash_str(m->name, what) < own;
     }
     return n;
 }
 
-static uint64_t far_turn_ms(const QRGateway *g, uint64_t now_ms)
+static uint64_t remote_fetch_delay_ms(const QRGateway *g, uint64_t now_ms)
 {
-    return (uint64_t)qr_gateway_near_before(g, g->operator.end.offset, now_ms) *
-           FAR_TURN_MS;
+    return (uint64_t)qr_gateway_region_rank(g, g->operator.end.offset, now_ms) *
+           REMOTE_FETCH_STAGGER_MS;
 }
 
-bool qr_gateway_is_untold(const QRGateway *g, uint64_t now_ms)
+bool qr_gateway_catch_up_is_overdue(const QRGateway *g, uint64_t now_ms)
 {
-    return g->behind_ms > 0 &&
-           now_ms >= g->behind_ms + UNTOLD_MOST_MS + far_turn_ms(g, now_ms);
+    return g->behind_ms > 0 && now_ms >= g->behind_ms + CATCH_UP_TIMEOUT_MS +
+                                             remote_fetch_delay_ms(g, now_ms);
 }
 
-/* The connection of a gateway that knows more than we do, or NULL. */
-static QRPeerConn *choose_teller(const QRGateway *g)
+/* Returns the connection of a gateway that knows more than this one, or NULL.
+   Gateways of the same region come first. */
+static QRPeerConn *choose_source(const QRGateway *g)
 {
     QRPeerConn *best = NULL;
-    uint64_t least = 0;
+    uint64_t least_rank = 0;
 
     for (unsigned i = 0; i < g->followers->len; i++) {
         QRPeerConn *peer = g->followers->pdata[i];
@@ -98,15 +102,16 @@
 
         if (!m || strcmp(m->role, QR_ROLE_GATEWAY) != 0 || !knows_more(g, m))
             continue;
-        if (!best || qr_gateway_preference(g, m, g->fetches) < least) {
+        if (!best || qr_gateway_peer_rank(g, m, g->fetches) < least_rank) {
             best = peer;
-            least = qr_gateway_preference(g, m, g->fetches);
+            least_rank = qr_gateway_peer_rank(g, m, g->fetches);
         }
     }
     return best;
 }
 
-/* Whether a gateway that we hear knows more than we do. */
+/* Returns whether a gateway with an unexpired lease knows more than this one.
+ */
 static bool is_behind(const QRGateway *g, uint64_t now_ms)
 {
     g_autoptr(GPtrArray) list =
@@ -122,7 +127,7 @@
     return behind;
 }
 
-static void ask_for(QRPeerConn *teller, const QRKnowledge *known)
+static void send_fetch(QRPeerConn *source, const QRKnowledge *known)
 {
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__Fetch fetch = QR__FLEET__FETCH__INIT;
@@ -132,53 +137,55 @@
     fetch.weights_revision = known->weights;
     frame.body_case = QR__FLEET__FRAME__BODY_FETCH;
     frame.fetch = &fetch;
-    qr_peer_send(teller, &frame);
+    qr_peer_send(source, &frame);
 }
 
-static void ask_teller(QRGateway *g, QRPeerConn *teller, uint64_t now_ms)
+static void fetch_from(QRGateway *g, QRPeerConn *source, uint64_t now_ms)
 {
-    const QRFleetMember *m = qr_peer_data(teller);
+    const QRFleetMember *m = qr_peer_data(source);
     QRKnowledge own = qr_operator_knowledge(&g->operator);
 
     g->fetch_ms = now_ms;
     g->fetches++;
-    ask_for(teller, &own);
+    send_fetch(source, &own);
     qr_logf(QR_LEVEL_INFO, "members",
-            "behind own=%" G_GUINT64_FORMAT " behind_for_ms=%" G_GUINT64_FORMAT
+            "operator records behind own=%" G_GUINT64_FORMAT
+            " behind_for_ms=%" G_GUINT64_FORMAT
             " asked=%s policy=%" G_GUINT64_FORMAT " theirs=%" G_GUINT64_FORMAT,
             own.offset, now_ms - g->behind_ms, m->name, own.policy,
             m->known.policy);
 }
 
-static void catch_up(QRGateway *g, uint64_t now_ms)
+static void fetch_missing_records(QRGateway *g, uint64_t now_ms)
 {
-    uint64_t due = g->behind_ms + (g->reading_rests ? 0 : BEHIND_MS);
-    QRPeerConn *teller;
+    uint64_t due = g->behind_ms + (g->reading_rests ? 0 : STORE_READ_DELAY_MS);
+    QRPeerConn *source;
 
     if (g->behind_ms == 0 || now_ms < due ||
-        (g->fetch_ms > 0 && now_ms < g->fetch_ms + ASK_AGAIN_MS))
+        (g->fetch_ms > 0 && now_ms < g->fetch_ms + FETCH_RETRY_MS))
         return;
     if (!is_behind(g, now_ms)) {
         g->behind_ms = 0;
         return;
     }
-    teller = choose_teller(g);
-    if (!teller) {
+    source = choose_source(g);
+    if (!source) {
         g->fetch_ms = now_ms;
         qr_logf(QR_LEVEL_WARN, "members",
-                "behind own=%" G_GUINT64_FORMAT
+                "operator records behind own=%" G_GUINT64_FORMAT
                 " behind_for_ms=%" G_GUINT64_FORMAT " asked=- followers=%u",
                 g->operator.end.offset, now_ms - g->behind_ms,
                 g->followers->len);
         return;
     }
-    if (qr_gateway_is_near(g, qr_peer_data(teller)) ||
-        now_ms >= due + far_turn_ms(g, now_ms))
-        ask_teller(g, teller, now_ms);
+    if (qr_gateway_is_same_region(g, qr_peer_data(source)) ||
+        now_ms >= due + remote_fetch_delay_ms(g, now_ms))
+        fetch_from(g, source, now_ms);
 }
 
-/* The connection of a gateway that knows what we know, each time another. */
-static QRPeerConn *choose_witness(const QRGateway *g)
+/* Returns the connection of a gateway that knows at least as much as this one,
+   or NULL. Calls rotate through the gateways. */
+static QRPeerConn *choose_age_source(const QRGateway *g)
 {
     unsigned n = g->followers->len;
     QRKnowledge own = qr_operator_knowledge(&g->operator);
@@ -195,59 +202,62 @@
 }
 
 /*
- * One that has just started finds versions named it does not know when. Others
- * that ran meanwhile know it: until one says so, they count as long in force,
- * and no engine may serve that has older ones.
+ * Requests the times at which weight versions were named, when due. A gateway
+ * that has just started does not know these times, but gateways that were
+ * running do. Until one answers, the versions count as long in force, and
+ * engines with older versions may not serve.
  */
-static void ask_ages(QRGateway *g, uint64_t now_ms)
+static void fetch_version_ages(QRGateway *g, uint64_t now_ms)
 {
-    /* all versions are asked for, and no configuration that we know */
+    /* requests all versions, and a configuration only if a newer one exists */
     QRKnowledge known = {
         .policy = qr_operator_knowledge(&g->operator).policy,
         .offset = qr_operator_unsure(&g->operator, now_ms),
     };
-    QRPeerConn *witness;
+    QRPeerConn *age_source;
 
     if (g->ages_ms == 0 || now_ms < g->ages_ms)
         return;
-    if (known.offset == UINT64_MAX || g->ages_asked >= AGES_ASKED_MOST) {
+    if (known.offset == UINT64_MAX || g->ages_asked >= AGE_REQUESTS_MAX) {
         g->ages_ms = 0;
         return;
     }
-    witness = choose_witness(g);
-    if (!witness)
+    age_source = choose_age_source(g);
+    if (!age_source)
         return;
-    g->ages_ms = now_ms + AGES_AGAIN_MS;
+    g->ages_ms = now_ms + AGE_RETRY_MS;
     g->ages_asked++;
-    ask_for(witness, &known);
+    send_fetch(age_source, &known);
     qr_logf(QR_LEVEL_INFO, "members",
-            "age unknown offset=%" G_GUINT64_FORMAT " asked=%s", known.offset,
-            ((const QRFleetMember *)qr_peer_data(witness))->name);
+            "version age unknown offset=%" G_GUINT64_FORMAT " asked=%s",
+            known.offset,
+            ((const QRFleetMember *)qr_peer_data(age_source))->name);
 }
 
 void qr_gateway_catch_up(QRGateway *g, uint64_t now_ms)
 {
-    ask_ages(g, now_ms);
-    catch_up(g, now_ms);
+    fetch_version_ages(g, now_ms);
+    fetch_missing_records(g, now_ms);
 }
 
-void qr_gateway_operator_heard(QRGateway *g, const Qr__Fleet__Records *records)
+void qr_gateway_take_operator_records(QRGateway *g,
+                                      const Qr__Fleet__Records *records)
 {
     uint64_t now = qr_gateway_now(g);
-    uint64_t under_way = now - qr_gateway_sent_ms(g);
+    uint64_t transit_ms = now - qr_gateway_sent_ms(g);
     QRPosition end;
 
-    /* ages are as of when they were sent */
+    /* ages are relative to the time of sending */
     for (size_t i = 0; i < records->n_records; i++) {
         Qr__Fleet__Record *r = records->records[i];
 
-        r->age_ms += under_way;
+        r->age_ms += transit_ms;
         for (size_t k = 0; k < r->n_earlier; k++)
-            r->earlier[k]->age_ms += under_way;
+            r->earlier[k]->age_ms += transit_ms;
     }
     qr_operator_heard(&g->operator, records, now);
-    g->fetch_ms = g->behind_ms = 0; /* who still knows more says so again */
-    /* what a peer told is not read once more from the store */
+    g->fetch_ms = g->behind_ms = 0; /* a peer that knows more reports again */
+    /* records that a peer sent are not read again from the store */
     end = qr_position_told(records->epoch, records->end, g->store_epoch);
     qr_gateway_note_epoch(g, end.epoch);
     if (qr_position_cmp(g->operator.end, end) >= 0)
--- a/src/gateway/qr_gateway_changes.c
+++ b/src/gateway/qr_gateway_changes.c
@@ -128,10 +128,10 @@
 
         if (!m || strcmp(m->role, QR_ROLE_GATEWAY) != 0 || !test(g, m, now_ms))
             continue;
-        if (best && qr_gateway_preference(g, m, dice) >= least)
+        if (best && qr_gateway_peer_rank(g, m, dice) >= least)
             continue;
         best = g->followers->pdata[i];
-        least = qr_gateway_preference(g, m, dice);
+        least = qr_gateway_peer_rank(g, m, dice);
     }
     return best;
 }
@@ -169,11 +169,11 @@
 static void ask_all(QRGateway *g, uint64_t now_ms)
 {
     QRPeerConn *teller = choose_teller(g, can_tell_all, now_ms);
-    uint64_t turn = (uint64_t)qr_gateway_near_before(g, 0, now_ms);
+    uint64_t turn = (uint64_t)qr_gateway_region_rank(g, 0, now_ms);
 
     if (!teller || now_ms < g->engines_asked_ms + ASK_ALL_AGAIN_MS)
         return;
-    if (qr_gateway_is_near(g, qr_peer_data(teller)) ||
+    if (qr_gateway_is_same_region(g, qr_peer_data(teller)) ||
         now_ms >= g->started_ms + turn * ASK_ALL_TURN_MS)
         ask_from(g, teller, (QRPosition){0}, now_ms);
 }
--- a/src/gateway/qr_gateway_heartbeat.c
+++ b/src/gateway/qr_gateway_heartbeat.c
@@ -1,26 +1,29 @@
 /*
- * What gateways tell one another at each heartbeat: their open calls at
- * engines, what they know of records, and how many gateways.
+ * Heartbeats between gateways. Each carries the sender's open calls at engines,
+ * the versions of the operator records that the sender knows, and the number of
+ * gateways that the sender knows.
  */
 #include "qr_gateway.h"
 
 #include <string.h>
 
-#define HEARTBEAT_REST 8 /* heartbeats between two that say all anew */
-#define READER_REST 2    /* ... of one in whose place others do not read */
-/* What a gateway told counts for so long: two of its whole lists, which come
-   every 800 ms, may be late or lost. Longer, and its calls, which are over by
-   then, keep places from those of others. */
-#define LOAD_LEASE_MS 2000
-#define LISTEN_LEASES 2 /* to know how many gateways there are */
-
-void qr_gateway_load_told(QRGateway *g, QRFleetMember *member,
+/* Every 8th heartbeat carries all loads. Others are sent only with changes, but
+   every 2nd one of a gateway that reads the store for others is always sent. */
+#define FULL_LOAD_HEARTBEATS 8
+#define READER_LOAD_HEARTBEATS 2
+/* How long a reported load counts. Two of the full lists, which come every
+   800 ms, may be late or lost. With a longer time, calls that have already
+   ended would keep slots from the calls of other gateways. */
+#define LOAD_VALID_MS 2000
+#define DISCOVERY_LEASES 2 /* time to discover all gateways */
+
+void qr_gateway_take_load(QRGateway *g, QRFleetMember *member,
                           const Qr__Fleet__Load *load)
 {
     QRKnowledge known = {load->policy_version, load->weights_revision,
                          load->control_offset};
 
-    qr_gateway_peer_knows(g, member, &known);
+    qr_gateway_note_peer_knowledge(g, member, &known);
     member->gateways = load->gateways;
     qr_gateway_share_told(g, member, load);
     member->load_ms = qr_gateway_now(g);
@@ -39,17 +42,18 @@
     member->leaving = load->leaving;
 }
 
-void qr_gateway_check_loads(QRGateway *g, uint64_t now_ms)
+void qr_gateway_expire_loads(QRGateway *g, uint64_t now_ms)
 {
     g_autoptr(GPtrArray) list =
         qr_members_of(&g->members, QR_ROLE_GATEWAY, NULL);
-    /* after a standstill: what came meanwhile is not read yet */
-    uint64_t heard_ms = qr_gateway_sent_ms(g);
+    /* after this process was paused, messages that arrived meanwhile are not
+       read yet */
+    uint64_t sent_ms = qr_gateway_sent_ms(g);
 
     for (unsigned i = 0; i < list->len; i++) {
         QRFleetMember *m = list->pdata[i];
 
-        if (m->load_ms == 0 || heard_ms <= m->load_ms + LOAD_LEASE_MS)
+        if (m->load_ms == 0 || sent_ms <= m->load_ms + LOAD_VALID_MS)
             continue;
         qr_logf(QR_LEVEL_WARN, "members",
                 "load expired name=%s age_ms=%" G_GUINT64_FORMAT, m->name,
@@ -59,11 +63,12 @@
     }
 }
 
-/* Rows of the load message, for gateways of two kinds. */
+/* Rows of the load message, for peers that request slots and peers that do not.
+ */
 typedef struct LoadRows {
-    GArray *unreserved; /* Qr__Fleet__EngineLoad: engines whose slots have no
+    GArray *unreserved; /* Qr__Fleet__EngineLoad: engines without a slot
                            keeper */
-    GArray *all;        /* also the others: for builds that ask for no slots */
+    GArray *all;        /* every engine: for builds that request no slots */
 } LoadRows;
 
 static LoadRows load_rows_new(void)
@@ -81,8 +86,9 @@
 }
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(LoadRows, load_rows_clear)
 
-/* The load message: engines whose open calls changed since it was last told. */
-static void load_collect(QRGateway *g, LoadRows *rows, bool whole)
+/* Collects engines whose load changed since the last message; 'whole': all
+   engines with open calls. */
+static void collect_loads(QRGateway *g, LoadRows *rows, bool whole)
 {
     GHashTableIter it;
     void *value;
@@ -107,7 +113,7 @@
     }
 }
 
-static void load_set_rows(Qr__Fleet__Load *load, GPtrArray *list)
+static void set_load_rows(Qr__Fleet__Load *load, GPtrArray *list)
 {
     load->engines = (Qr__Fleet__EngineLoad **)list->pdata;
     load->n_engines = list->len;
@@ -122,8 +128,9 @@
     return list;
 }
 
-/* A word that says nothing new is kept from who would hear it in vain. */
-static void load_send(QRGateway *g, const LoadRows *rows, Qr__Fleet__Load *load,
+/* Sends the load message to the gateways that dialled this one. Unless
+   'is_due', a gateway to which no row applies gets no message. */
+static void send_load(QRGateway *g, const LoadRows *rows, Qr__Fleet__Load *load,
                       bool is_due)
 {
     QRFrame frame = QR__FLEET__FRAME__INIT;
@@ -138,13 +145,13 @@
     load->gateways = qr_gateway_count(g);
     frame.body_case = QR__FLEET__FRAME__BODY_LOAD;
     frame.load = load;
-    /* gateways that dialled us hear us on that connection */
+    /* a gateway receives loads on the connection that it dialled */
     for (unsigned i = 0; i < g->followers->len; i++) {
         const QRFleetMember *to = qr_peer_data(g->followers->pdata[i]);
 
         if (!to || strcmp(to->role, QR_ROLE_GATEWAY) != 0)
             continue;
-        load_set_rows(load, to->reserves_slots ? unreserved : all);
+        set_load_rows(load, to->reserves_slots ? unreserved : all);
         if (is_due || load->n_engines > 0)
             qr_peer_send(g->followers->pdata[i], &frame);
     }
@@ -160,19 +167,20 @@
 }
 
 /*
- * Gateways that we know, or one that we know does: the most so far. 0: there
- * are others, and nobody was heard of yet, or we have not listened for long
- * enough to know how many.
+ * Returns the highest number of gateways, this one included, that this gateway
+ * or a known gateway has counted so far. Returns 0 if other seeds are
+ * configured and no gateway is known yet, or fewer than DISCOVERY_LEASES leases
+ * have passed since the start.
  */
-static unsigned gateways_known(const QRGateway *g, uint64_t now_ms)
+static unsigned estimate_gateways(const QRGateway *g, uint64_t now_ms)
 {
     g_autoptr(GPtrArray) list =
         qr_members_of(&g->members, QR_ROLE_GATEWAY, NULL);
-    uint64_t listen_ms = LISTEN_LEASES * (uint64_t)g->set->lease_ms;
+    uint64_t discovery_ms = DISCOVERY_LEASES * (uint64_t)g->set->lease_ms;
     unsigned known = MAX(g->gateways_known, list->len + 1);
 
     if (has_other_seeds(g) &&
-        (list->len == 0 || now_ms < g->started_ms + listen_ms))
+        (list->len == 0 || now_ms < g->started_ms + discovery_ms))
         return 0;
     for (unsigned i = 0; i < list->len; i++)
         known = MAX(known, ((const QRFleetMember *)list->pdata[i])->gateways);
@@ -183,28 +191,28 @@
 {
     g_auto(LoadRows) rows = load_rows_new();
     Qr__Fleet__Load load = QR__FLEET__LOAD__INIT;
-    unsigned turn = ++g->heartbeats;
-    bool is_due, is_news;
+    unsigned beat = ++g->heartbeats;
+    bool is_due, is_awaited;
 
-    qr_gateway_meet(g, now_ms);
+    qr_gateway_discover(g, now_ms);
     qr_gateway_catch_up(g, now_ms);
     qr_gateway_share_tick(g, now_ms);
     qr_gateway_slots_beat(g, now_ms);
-    g->gateways_known = gateways_known(g, now_ms);
-    load.whole = turn % HEARTBEAT_REST == 0 || g->follower_is_new;
+    g->gateways_known = estimate_gateways(g, now_ms);
+    load.whole = beat % FULL_LOAD_HEARTBEATS == 0 || g->follower_is_new;
     g->follower_is_new = false;
-    load_collect(g, &rows, load.whole);
-    is_news = qr_gateway_share_tell(g, &load);
-    is_due = load.whole || is_news ||
-             (load.reads_engines && turn % READER_REST == 0);
-    load_send(g, &rows, &load, is_due);
+    collect_loads(g, &rows, load.whole);
+    is_awaited = qr_gateway_share_tell(g, &load);
+    is_due = load.whole || is_awaited ||
+             (load.reads_engines && beat % READER_LOAD_HEARTBEATS == 0);
+    send_load(g, &rows, &load, is_due);
 }
 
-void qr_gateway_tell_leaving(QRGateway *g)
+void qr_gateway_send_leaving(QRGateway *g)
 {
     g_auto(LoadRows) rows = load_rows_new();
     Qr__Fleet__Load load = QR__FLEET__LOAD__INIT;
 
     qr_gateway_share_tell(g, &load);
-    load_send(g, &rows, &load, true);
+    send_load(g, &rows, &load, true);
 }
--- a/src/gateway/qr_gateway_meet.c
+++ b/src/gateway/qr_gateway_meet.c
@@ -1,17 +1,18 @@
 /*
- * How gateways come to know of one another.
+ * Discovery of other gateways.
  *
- * Each tells by hello and heartbeat how many it knows. One that knows fewer
- * asks one that knows more for its list, and then the next. Were each to send
- * its list to each that it greets, hundreds that start at once would fill the
- * links between regions with the same names.
+ * Each hello and heartbeat carries the number of gateways that its sender
+ * knows. A gateway that knows fewer requests the list from one that knows more,
+ * and then from the next. If each gateway sent its list with every hello,
+ * hundreds of gateways that start at once would fill the links between regions
+ * with the same names.
  */
 #include "qr_gateway.h"
 
 #include <string.h>
 
-/* For the list to come, and for those on it to be greeted. */
-#define ASK_AGAIN_MS 300
+/* Time for the list to arrive and for hellos with the gateways on the list. */
+#define DISCOVERY_RETRY_MS 300
 
 unsigned qr_gateway_count(const QRGateway *g)
 {
@@ -24,43 +25,44 @@
     return n;
 }
 
-/* One that knows more gateways than we do and was not asked since. */
-static QRPeerConn *choose_introducer(const QRGateway *g)
+/* Returns the connection of a gateway that knows more gateways than this one
+   and than the gateway knew when last asked, or NULL. */
+static QRPeerConn *choose_member_source(const QRGateway *g)
 {
     unsigned known = qr_gateway_count(g);
     QRPeerConn *best = NULL;
-    uint64_t least = 0;
+    uint64_t least_rank = 0;
 
     for (unsigned i = 0; i < g->followers->len; i++) {
         QRPeerConn *peer = g->followers->pdata[i];
         const QRFleetMember *m = qr_peer_data(peer);
-        uint64_t dice;
+        uint64_t rank;
 
         if (!m || strcmp(m->role, QR_ROLE_GATEWAY) != 0 ||
             m->gateways <= MAX(known, m->gateways_asked))
             continue;
-        /* nearer ones first, then any, by turns */
-        dice = qr_hash_str(m->name, g->meet_ms) >> 1;
+        /* same region first; the hash varies the choice each time */
+        rank = qr_hash_str(m->name, g->meet_ms) >> 1;
         if (g_strcmp0(m->region, g->set->region) != 0)
-            dice |= UINT64_C(1) << 63;
-        if (!best || dice < least) {
+            rank |= UINT64_C(1) << 63;
+        if (!best || rank < least_rank) {
             best = peer;
-            least = dice;
+            least_rank = rank;
         }
     }
     return best;
 }
 
-void qr_gateway_meet(QRGateway *g, uint64_t now_ms)
+void qr_gateway_discover(QRGateway *g, uint64_t now_ms)
 {
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__Fetch fetch = QR__FLEET__FETCH__INIT;
     QRPeerConn *peer;
     QRFleetMember *member;
 
-    if (now_ms < g->meet_ms + ASK_AGAIN_MS)
+    if (now_ms < g->meet_ms + DISCOVERY_RETRY_MS)
         return;
-    peer = choose_introducer(g);
+    peer = choose_member_source(g);
     if (!peer)
         return;
     member = qr_peer_data(peer);
@@ -70,16 +72,17 @@
     frame.body_case = QR__FLEET__FRAME__BODY_FETCH;
     frame.fetch = &fetch;
     qr_peer_send(peer, &frame);
-    qr_logf(QR_LEVEL_INFO, "members", "gateways known=%u asked=%s knows=%u",
+    qr_logf(QR_LEVEL_INFO, "members",
+            "gateway list requested known=%u asked=%s knows=%u",
             qr_gateway_count(g), member->name, member->gateways);
 }
 
-void qr_gateway_introduce(const QRGateway *g, QRPeerConn *peer)
+void qr_gateway_send_members(const QRGateway *g, QRPeerConn *peer)
 {
     g_autoptr(GPtrArray) list =
         qr_members_of(&g->members, QR_ROLE_GATEWAY, NULL);
     g_autofree Qr__Fleet__Hello *rows = g_new(Qr__Fleet__Hello, list->len + 1);
-    g_autofree Qr__Fleet__Hello **names =
+    g_autofree Qr__Fleet__Hello **hellos =
         g_new(Qr__Fleet__Hello *, list->len + 1);
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__Members members = QR__FLEET__MEMBERS__INIT;
@@ -90,9 +93,9 @@
         if (m->leaving)
             continue;
         qr_member_describe(m, &rows[i]);
-        names[members.n_members++] = &rows[i];
+        hellos[members.n_members++] = &rows[i];
     }
-    members.members = names;
+    members.members = hellos;
     frame.body_case = QR__FLEET__FRAME__BODY_MEMBERS;
     frame.members = &members;
     qr_peer_send(peer, &frame);
--- a/src/gateway/qr_gateway_peers.c
+++ b/src/gateway/qr_gateway_peers.c
@@ -1,25 +1,30 @@
 /*
- * What a gateway hears from peers, and tells them.
+ * Messages between a gateway and its peers: other gateways and sidecars.
+ * Handles hellos, member lists and engine states, and forwards changes to the
+ * sidecars that follow this gateway.
  */
 #include "qr_gateway.h"
 
 #include <string.h>
 
-#define SIDECAR_LEASE_MS 2500 /* it tells its state once a second */
-#define REDIAL_MS 700         /* for a lost connection to come back */
+#define SIDECAR_TIMEOUT_MS 2500  /* a sidecar sends its state every 1 s */
+#define SIDECAR_RECONNECT_MS 700 /* allowed after a connection is lost */
 
 static bool is_sidecar(const QRFleetMember *member)
 {
     return member && strcmp(member->role, QR_ROLE_SIDECAR) == 0;
 }
 
-static void tell_follower(void *to, const QRFrame *frame)
+static void send_record(void *to, const QRFrame *frame)
 {
     qr_peer_send(to, frame);
 }
 
-/* Routes, teams and limits are nothing to sidecars, and may be long. */
-static bool is_for_sidecars(QRGateway *g, const QRStoreRecord *r)
+/*
+ * Returns whether sidecars need the record. Sidecars do not use routes, teams
+ * or limits, which can be long; a policy counts only if its services changed.
+ */
+static bool concerns_sidecars(QRGateway *g, const QRStoreRecord *r)
 {
     const QRPolicy *policy = g->operator.policy;
 
@@ -31,24 +36,25 @@
     return true;
 }
 
-void qr_gateway_operator_news(void *owner, const QRStoreRecord *r)
+void qr_gateway_forward_operator_record(void *owner, const QRStoreRecord *r)
 {
     QRGateway *g = owner;
 
     qr_gateway_apply_limits(g);
-    /* gateways hear it from the store, or ask: see qr_gateway_catchup.c */
-    if (!is_for_sidecars(g, r))
+    /* other gateways read the record from the store or request it: see
+       qr_gateway_catchup.c */
+    if (!concerns_sidecars(g, r))
         return;
     for (unsigned i = 0; i < g->followers->len; i++) {
         QRPeerConn *peer = g->followers->pdata[i];
 
         if (is_sidecar(qr_peer_data(peer)))
             qr_operator_tell_one(&g->operator, r->key, QR_FOR_SIDECARS,
-                                 qr_gateway_now(g), tell_follower, peer);
+                                 qr_gateway_now(g), send_record, peer);
     }
 }
 
-static void peer_greet(void *owner, QRFrame *frame, Qr__Fleet__Hello *hello)
+static void fill_hello(void *owner, QRFrame *frame, Qr__Fleet__Hello *hello)
 {
     QRGateway *g = owner;
     QRKnowledge known = qr_operator_knowledge(&g->operator);
@@ -85,7 +91,7 @@
     qr_peer_send(peer, &frame);
 }
 
-static void send_held(QRPeerConn *peer, const QRFleetMember *member)
+static void send_held_version(QRPeerConn *peer, const QRFleetMember *member)
 {
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__EngineState state = QR__FLEET__ENGINE_STATE__INIT;
@@ -102,11 +108,12 @@
 }
 
 /*
- * All that a sidecar needs to know that has just come. Gateways ask for what
- * they lack: see qr_gateway_meet.c and qr_gateway_catchup.c.
+ * Sends a newly connected sidecar all members, held weight versions and
+ * operator records that it needs. Gateways request what they lack instead: see
+ * qr_gateway_discover.c and qr_gateway_catchup.c.
  */
-static void welcome_sidecar(QRGateway *g, QRPeerConn *peer,
-                            const QRKnowledge *known)
+static void send_initial_state(QRGateway *g, QRPeerConn *peer,
+                               const QRKnowledge *known)
 {
     GHashTableIter it;
     void *value;
@@ -118,16 +125,16 @@
         if (!is_sidecar(member) && member->leaving)
             continue;
         send_member(peer, value, false);
-        send_held(peer, value);
+        send_held_version(peer, value);
     }
     qr_operator_tell(&g->operator, known, QR_FOR_SIDECARS, qr_gateway_now(g),
-                     tell_follower, peer);
+                     send_record, peer);
 }
 
-/* The run of a process that another one of the same name follows, as far as
-   we knew it: what a process that was killed cannot tell of itself. */
+/* Last known state of the previous run of a restarted process. A killed process
+   cannot report how its run ended. */
 typedef struct FormerRun {
-    const char *end; /* whether it had said that it would leave */
+    const char *end; /* logged: whether the run announced that it was leaving */
     uint64_t heard_ago_ms;
 } FormerRun;
 
@@ -142,12 +149,13 @@
 }
 
 /*
- * A member is new. A new gateway is dialled, and dials back; other gateways
- * see that we know more than they do, and ask. Sidecars have only the one
- * gateway that they follow.
+ * Handles a new member or a new run of a known one. A new gateway is dialled
+ * and dials back. Other gateways see in the next heartbeat that this gateway
+ * knows more members and request the list. Sidecars are sent the member,
+ * because each sidecar follows only one gateway.
  */
-static void heard_of(QRGateway *g, const QRFleetMember *member,
-                     const FormerRun *former)
+static void announce_member(QRGateway *g, const QRFleetMember *member,
+                            const FormerRun *former)
 {
     qr_logf(QR_LEVEL_INFO, "members",
             "new name=%s role=%s address=%s zone=%s "
@@ -165,16 +173,17 @@
     }
 }
 
-/* A sidecar does not know that its engine leaves; its record may have said so
-   before the sidecar was met. */
-static void sidecar_leaves_with(const QRGateway *g, QRFleetMember *sidecar)
+/* Marks a sidecar as leaving if the engine's record is draining. The sidecar
+   does not know that its engine leaves, and the record may have said so before
+   the sidecar connected. */
+static void set_leaving_from_engine(const QRGateway *g, QRFleetMember *sidecar)
 {
     const QREngine *e = qr_engines_at(&g->engines, sidecar->service_address);
 
     sidecar->leaving = e && e->record->draining;
 }
 
-static void peer_hello(QRGateway *g, QRPeerConn *peer,
+static void take_hello(QRGateway *g, QRPeerConn *peer,
                        const Qr__Fleet__Hello *h)
 {
     QRKnowledge knows = {h->policy_version, h->weights_revision,
@@ -182,32 +191,32 @@
     const QRFleetMember *known = qr_members_get(&g->members, h->name);
     bool is_restarted = known && known->incarnation != h->incarnation;
     FormerRun former = former_run(known, qr_gateway_now(g));
-    QRFleetMember *news;
+    QRFleetMember *added;
 
     if (strcmp(h->name, g->set->host) == 0)
         return;
-    news = qr_members_hello(&g->members, h, true, qr_gateway_now(g));
-    /* a machine that lost power has not closed what we had dialled */
+    added = qr_members_hello(&g->members, h, true, qr_gateway_now(g));
+    /* a machine that lost power did not close the connection that this gateway
+       had dialled */
     if (is_restarted && !qr_peer_dialled(peer) &&
         strcmp(h->role, QR_ROLE_GATEWAY) == 0)
         qr_peers_redial(g->peers, h->address);
     qr_peer_set_data(peer, qr_members_get(&g->members, h->name));
     qr_peer_set_far(peer, g_strcmp0(h->region, g->set->region) != 0);
-    if (news)
-        heard_of(g, news, &former);
+    if (added)
+        announce_member(g, added, &former);
     if (strcmp(h->role, QR_ROLE_GATEWAY) == 0 && qr_peer_data(peer)) {
-        qr_gateway_peer_knows(g, qr_peer_data(peer), &knows);
+        qr_gateway_note_peer_knowledge(g, qr_peer_data(peer), &knows);
         ((QRFleetMember *)qr_peer_data(peer))->gateways = h->gateways;
     }
-    if (qr_peer_dialled(
-            peer)) { /* the other side welcomes us, tells its load */
+    if (qr_peer_dialled(peer)) { /* the peer sends its load here */
         qr_peer_care(peer, QR_PEER_HEARS);
         return;
     }
     if (qr_peer_data(peer))
         qr_peer_close_older(peer);
     if (is_sidecar(qr_peer_data(peer)))
-        sidecar_leaves_with(g, qr_peer_data(peer));
+        set_leaving_from_engine(g, qr_peer_data(peer));
     if (strcmp(h->role, QR_ROLE_SIDECAR) == 0 && qr_peer_data(peer)) {
         ((QRFleetMember *)qr_peer_data(peer))->conn = peer;
         ((QRFleetMember *)qr_peer_data(peer))->lost_ms = 0;
@@ -219,36 +228,38 @@
         g_ptr_array_add(g->followers, peer);
         g->follower_is_new |= !is_sidecar(qr_peer_data(peer));
         if (is_sidecar(qr_peer_data(peer)))
-            welcome_sidecar(g, peer, &knows);
+            send_initial_state(g, peer, &knows);
         else
             qr_requests_welcome(g, peer);
     }
 }
 
 /*
- * Hearsay only introduces. Of a member that is known it says nothing: which of
- * two incarnations is the newer one only the member itself can tell.
+ * Takes a list of members from another gateway. The list only adds unknown
+ * members: which of two incarnations of a known member is newer can be learned
+ * only from the member itself.
  */
-static void peer_members(QRGateway *g, const Qr__Fleet__Members *list)
+static void take_members(QRGateway *g, const Qr__Fleet__Members *list)
 {
     const FormerRun none = former_run(NULL, 0);
 
     for (size_t i = 0; i < list->n_members; i++) {
-        const Qr__Fleet__Hello *told = list->members[i];
-        QRFleetMember *news;
+        const Qr__Fleet__Hello *hello = list->members[i];
+        QRFleetMember *added;
 
-        if (strcmp(told->name, g->set->host) == 0 ||
-            qr_members_get(&g->members, told->name))
+        if (strcmp(hello->name, g->set->host) == 0 ||
+            qr_members_get(&g->members, hello->name))
             continue;
-        news = qr_members_hello(&g->members, told, false, qr_gateway_now(g));
-        if (news)
-            heard_of(g, news, &none);
+        added = qr_members_hello(&g->members, hello, false, qr_gateway_now(g));
+        if (added)
+            announce_member(g, added, &none);
     }
 }
 
 /*
- * The engine at the address has started anew, and says so to the process beside
- * it; its record of before stands in the store until its lease runs out.
+ * Returns whether the engine's record is of an earlier run than the state that
+ * its sidecar reports. After a restart of an engine, the record of the previous
+ * run stays in the store until its lease expires.
  */
 static bool is_earlier_run(const QREngine *e,
                            const Qr__Fleet__EngineState *state)
@@ -257,10 +268,10 @@
            state->born_ms > e->record->born_ms;
 }
 
-static void earlier_run_ended(QRGateway *g, QREngine *e, uint64_t born_ms)
+static void end_earlier_run(QRGateway *g, QREngine *e, uint64_t born_ms)
 {
     qr_logf(QR_LEVEL_INFO, "engines",
-            "ended engine=%s address=%s born_ms=%" G_GUINT64_FORMAT
+            "earlier run ended engine=%s address=%s born_ms=%" G_GUINT64_FORMAT
             " later_run_ms=%" G_GUINT64_FORMAT,
             e->record->id, e->record->address, e->record->born_ms, born_ms);
     e->ended = true;
@@ -268,14 +279,14 @@
     qr_gateway_share_hurry(g);
 }
 
-static void engine_told(QRGateway *g, QRPeerConn *peer,
-                        const Qr__Fleet__EngineState *state)
+static void take_engine_state(QRGateway *g, QRPeerConn *peer,
+                              const Qr__Fleet__EngineState *state)
 {
     const QRFleetMember *member = qr_peer_data(peer);
     QREngine *e = qr_engines_at(&g->engines, state->engine_address);
 
     while (e && is_earlier_run(e, state)) {
-        earlier_run_ended(g, e, state->born_ms);
+        end_earlier_run(g, e, state->born_ms);
         e = qr_engines_at(&g->engines, state->engine_address);
     }
     if (!e)
@@ -308,7 +319,7 @@
                               QRFleetMember *member,
                               const Qr__Fleet__EngineState *state)
 {
-    engine_told(g, peer, state);
+    take_engine_state(g, peer, state);
     if (member->held == state->held)
         return;
     member->held = state->held;
@@ -318,27 +329,27 @@
         const QRFleetMember *to = qr_peer_data(g->followers->pdata[i]);
 
         if (is_sidecar(to))
-            send_held(g->followers->pdata[i], member);
+            send_held_version(g->followers->pdata[i], member);
     }
 }
 
-static void tell_lacked(QRGateway *g, QRPeerConn *peer,
-                        const Qr__Fleet__Fetch *fetch)
+static void send_missing_records(QRGateway *g, QRPeerConn *peer,
+                                 const Qr__Fleet__Fetch *fetch)
 {
     QRKnowledge known = {fetch->policy_version, fetch->weights_revision,
                          fetch->offset};
 
     qr_operator_tell(&g->operator, & known, QR_FOR_GATEWAYS, qr_gateway_now(g),
-                     tell_follower, peer);
+                     send_record, peer);
 }
 
-static void peer_frame(void *owner, QRPeerConn *peer, const QRFrame *frame)
+static void take_frame(void *owner, QRPeerConn *peer, const QRFrame *frame)
 {
     QRGateway *g = owner;
     QRFleetMember *member = qr_peer_data(peer);
 
     if (frame->body_case == QR__FLEET__FRAME__BODY_HELLO) {
-        peer_hello(g, peer, frame->hello);
+        take_hello(g, peer, frame->hello);
         return;
     }
     if (!member)
@@ -346,31 +357,31 @@
     qr_members_heard(member, qr_gateway_now(g));
     switch (frame->body_case) {
     case QR__FLEET__FRAME__BODY_MEMBERS:
-        peer_members(g, frame->members);
+        take_members(g, frame->members);
         break;
     case QR__FLEET__FRAME__BODY_LOAD:
-        qr_gateway_load_told(g, member, frame->load);
+        qr_gateway_take_load(g, member, frame->load);
         break;
     case QR__FLEET__FRAME__BODY_ENGINE_STATE:
         peer_engine_state(g, peer, member, frame->engine_state);
         break;
     case QR__FLEET__FRAME__BODY_FETCH:
         if (frame->fetch->gateways) {
-            qr_gateway_introduce(g, peer);
+            qr_gateway_send_members(g, peer);
             break;
         }
         if (frame->fetch->engines) {
             qr_gateway_share_answer(g, peer, frame->fetch);
             break;
         }
-        tell_lacked(g, peer, frame->fetch);
+        send_missing_records(g, peer, frame->fetch);
         break;
     case QR__FLEET__FRAME__BODY_RECORDS:
         if (frame->records->engines) {
             qr_gateway_share_records(g, member, frame->records);
             break;
         }
-        qr_gateway_operator_heard(g, frame->records);
+        qr_gateway_take_operator_records(g, frame->records);
         break;
     case QR__FLEET__FRAME__BODY_SLOT_REQUEST:
         qr_gateway_slots_request(g, peer, frame->slot_request);
@@ -386,8 +397,10 @@
     }
 }
 
-/* What became of a member. */
-static void tell_sidecars(QRGateway *g, const QRFleetMember *member, bool gone)
+/* Sends a member's state to all sidecars that follow this gateway; 'gone': the
+   member was removed. */
+static void send_to_sidecars(QRGateway *g, const QRFleetMember *member,
+                             bool gone)
 {
     for (unsigned i = 0; i < g->followers->len; i++) {
         const QRFleetMember *to = qr_peer_data(g->followers->pdata[i]);
@@ -397,8 +410,8 @@
     }
 }
 
-void qr_gateway_sidecar_leaves(QRGateway *g, const char *engine_address,
-                               bool leaves)
+void qr_gateway_set_sidecar_leaving(QRGateway *g, const char *engine_address,
+                                    bool leaves)
 {
     g_autoptr(GPtrArray) list =
         qr_members_of(&g->members, QR_ROLE_SIDECAR, NULL);
@@ -412,23 +425,26 @@
         m->leaving = leaves;
         qr_logf(QR_LEVEL_INFO, "members", "sidecar %s name=%s",
                 leaves ? "leaving" : "staying", m->name);
-        tell_sidecars(g, m, false);
+        send_to_sidecars(g, m, false);
     }
 }
 
-/* A sidecar is lost: others must not wait for pieces from it. */
-static void sidecar_lost(QRGateway *g, QRFleetMember *member)
+/* Removes a lost sidecar and tells the others, which must not wait for weight
+   pieces from the lost one. */
+static void remove_sidecar(QRGateway *g, QRFleetMember *member)
 {
     qr_logf(QR_LEVEL_INFO, "members",
             "sidecar lost name=%s heard_ms=%" G_GUINT64_FORMAT, member->name,
             qr_gateway_now(g) - MIN(member->heard_ms, qr_gateway_now(g)));
-    tell_sidecars(g, member, true);
+    send_to_sidecars(g, member, true);
     qr_peers_clear_data(g->peers, member);
     qr_members_remove(&g->members, member->name);
 }
 
-/* The connection of a sidecar that is left when another one has gone. */
-static QRPeerConn *sidecar_conn(const QRGateway *g, const QRFleetMember *member)
+/* Returns a remaining connection of a sidecar after another connection closed,
+   or NULL. */
+static QRPeerConn *find_sidecar_conn(const QRGateway *g,
+                                     const QRFleetMember *member)
 {
     for (unsigned i = 0; i < g->sidecars->len; i++) {
         if (qr_peer_data(g->sidecars->pdata[i]) == member)
@@ -446,24 +462,25 @@
     g_ptr_array_remove_fast(g->sidecars, peer);
     qr_gateway_slots_lost(g, peer);
     if (is_sidecar(member) && member->conn == peer) {
-        member->conn = sidecar_conn(g, member);
-        /* it may only have to dial again; see qr_gateway_check_sidecars() */
+        member->conn = find_sidecar_conn(g, member);
+        /* the sidecar may reconnect; see qr_gateway_expire_sidecars() */
         if (!member->conn)
             member->lost_ms = MAX(qr_gateway_now(g), 1);
         return;
     }
-    /* a gateway tells its load on the connection that we dialled */
+    /* a gateway sends its load on the connection that this gateway dialled */
     if (!member || !qr_peer_dialled(peer))
         return;
-    qr_logf(QR_LEVEL_INFO, "members", "connection lost name=%s", member->name);
+    qr_logf(QR_LEVEL_INFO, "members", "gateway connection lost name=%s",
+            member->name);
     qr_engines_forget_gateway(&g->engines, member->name);
 }
 
-const QRPeerHandlers qr_gateway_peer_handlers = {peer_greet, peer_frame,
+const QRPeerHandlers qr_gateway_peer_handlers = {fill_hello, take_frame,
                                                  peer_closed};
 
-/* Sidecars that did not dial again. */
-static void check_lost(QRGateway *g, uint64_t now_ms)
+/* Removes sidecars that did not reconnect in time. */
+static void remove_lost_sidecars(QRGateway *g, uint64_t now_ms)
 {
     g_autoptr(GPtrArray) list =
         qr_members_of(&g->members, QR_ROLE_SIDECAR, NULL);
@@ -471,19 +488,19 @@
     for (unsigned i = 0; i < list->len; i++) {
         QRFleetMember *m = list->pdata[i];
 
-        if (m->lost_ms && now_ms > m->lost_ms + REDIAL_MS)
-            sidecar_lost(g, m);
+        if (m->lost_ms && now_ms > m->lost_ms + SIDECAR_RECONNECT_MS)
+            remove_sidecar(g, m);
     }
 }
 
-void qr_gateway_check_sidecars(QRGateway *g, uint64_t now_ms)
+void qr_gateway_expire_sidecars(QRGateway *g, uint64_t now_ms)
 {
     for (unsigned i = g->sidecars->len; i > 0; i--) {
         QRPeerConn *peer = g->sidecars->pdata[i - 1];
         const QRFleetMember *m = qr_peer_data(peer);
 
-        if (m && now_ms > m->heard_ms + SIDECAR_LEASE_MS)
+        if (m && now_ms > m->heard_ms + SIDECAR_TIMEOUT_MS)
             qr_peer_close(peer);
     }
-    check_lost(g, now_ms);
+    remove_lost_sidecars(g, now_ms);
 }
--- a/src/gateway/qr_gateway_share.c
+++ b/src/gateway/qr_gateway_share.c
@@ -308,7 +308,7 @@
         return;
     qr_share_ask(g, now_ms);
     if (g->reading_rests &&
-        (is_left_out(g, now_ms) || qr_gateway_is_untold(g, now_ms))) {
+        (is_left_out(g, now_ms) || qr_gateway_catch_up_is_overdue(g, now_ms))) {
         g->readers_since_ms = g->engines_unseen_ms = 0;
         set_reading(g, true);
     }
