--- a/tests/suspend_host.c
+++ b/tests/suspend_host.c
@@ -1,7 +1,7 @@
 /*
- * For tests: loaded before a process, it lets its host seem suspended. The
- * boot-time clock runs ahead of the steady one by as many milliseconds as the
- * file says that the variable QUAYRING_TEST_SUSPENDED names.
+ * Test library for LD_PRELOAD that simulates a suspended host. CLOCK_BOOTTIME
+ * is advanced by the number of milliseconds in the file that the environment
+ * variable QUAYRING_TEST_SUSPENDED names.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -1,4 +1,4 @@
-"""Who is there: what gateways take from one another about others."""
+"""Members and records that gateways learn from one another."""
 import json
 import socket
 import time
@@ -10,13 +10,14 @@
 from peer import Peer, hello
 
 
-def told_of(frames, name):
+def count_hellos(frames, name):
     return sum(m.name == name for f in frames for m in f.members.members)
 
 
-def test_hearsay_of_a_restarted_gateway_goes_round_once():
-    """Bench, 34 gateways: each passed on the other incarnation as news, for
-    as long as one of them knew the old one; memory went over its limit."""
+def test_restarted_gateway_is_announced_once():
+    """Gateways forward a new member once. With 34 gateways, each forwarded the
+    other incarnation of a restarted gateway as new for as long as one of them
+    knew the old one, until memory exceeded its limit."""
     with Fleet(plain=0) as f:
         f.wait_ready()
         teller = Peer(f.peers[0], hello("teller", "gateway"))
@@ -27,13 +28,14 @@
             teller.send(members=fleet_pb2.Members(members=[ghost]))
             time.sleep(0.02)
         frames = listener.frames_until_silence(0.5)
-        assert told_of(frames, "ghost") == 1
+        assert count_hellos(frames, "ghost") == 1
         assert f.log("g0").count("new name=ghost") == 1
 
 
-def test_one_peer_is_asked_for_what_is_missing():
-    """Bench, 34 gateways: each told each of those that the store left out the
-    whole configuration, ten times a second."""
+def test_missing_records_are_requested_from_one_peer():
+    """A gateway that lacks records requests them from one peer at a time. With
+    34 gateways, each sent the whole configuration ten times a second to every
+    gateway that could not read the store."""
     with Fleet(gateways=2, plain=0, dark_stores=(0, 1)) as f:
         for i in range(2):
             wait_for("listening", lambda i=i: ask(
@@ -44,29 +46,30 @@
         time.sleep(1.0)
         fetches = [sum(frame.HasField("fetch")
                        for frame in p.frames_for(0.02)) for p in know]
-        # one is asked at a time, by turns while none answers
+        # one peer is asked at a time, then the next if there is no answer
         assert 2 <= sum(fetches) <= 5 and max(fetches) < sum(fetches)
         policy_1 = json.dumps(policy(1, f.origin.address)).encode()
         know[0].send(records=fleet_pb2.Records(records=[fleet_pb2.Record(
             key="config", value=policy_1, offset=2)], end=3))
-        wait_for("the other one to ask and be told",
+        wait_for("g1 to request and take the records",
                  lambda: "in force version=1" in f.log("g1"))
-        # who is behind asks; nobody is told unasked
+        # a gateway that is behind requests records; none are sent unasked
         assert not any(frame.HasField("records")
                        for frame in behind.frames_for(0.5))
         assert f.log("g1").count("in force version=1") == 1
 
 
-def test_who_has_just_started_asks_since_when_a_version_is_named():
-    """Bench, trouble-3 of the third site: gateways restarted in an outage took
-    versions that had just been named for long in force, and served nobody."""
+def test_new_gateway_requests_age_of_versions():
+    """A new gateway requests from its peers when a version was named. Gateways
+    that restarted during a store outage took recently named versions for long
+    in force and served no calls."""
     value = json.dumps({"model": "m1", "version": 2}).encode()
     with Fleet(gateways=0, plain=0, version_ms=8000) as f:
         f.store.put("keyed.op", "version/m1", {"model": "m1", "version": 2})
         f.add_gateways(1)
         f.wait_ready()
         end = len(f.store.records("keyed.op"))
-        # the only other gateway: nobody else can be asked
+        # the only other gateway that can be asked
         peer = Peer(f.peers[0], hello("old", "gateway", control_offset=end))
         frames = peer.frames_for(1.0)
         asked = [x.fetch for x in frames if x.HasField("fetch")
@@ -79,15 +82,16 @@
                  "age_ms=700" in f.log("g0"), 5)
 
 
-def test_the_first_of_a_region_asks_other_regions():
-    """Bench: CONFIG. What only other regions knew, each gateway of a region
-    asked for over the same narrow link."""
+def test_one_gateway_of_a_region_asks_other_regions():
+    """Only one gateway of a region at a time requests records from another
+    region. Otherwise each one requests the same configuration over the same
+    narrow link."""
     with Fleet(gateways=3, plain=0, dark_stores=(0, 1, 2)) as f:
         names = [f"g{i}" for i in range(3)]
         for n in names:
-            wait_for("all to meet", lambda n=n: all(
+            wait_for("all gateways to know each other", lambda n=n: all(
                 f"new name={m}" in f.log(n) for m in names if m != n))
-        time.sleep(0.5)  # heartbeats of each have come
+        time.sleep(0.5)  # each has sent heartbeats
         know = [Peer(p, hello("know", "gateway", region="r9",
                               control_offset=3)) for p in f.peers]
         end = time.monotonic() + 0.35
@@ -96,16 +100,16 @@
             time.sleep(0.01)
         time.sleep(0.1)
         assert sum("asked=know" in f.log(n) for n in names) == 1
-        # one that is given no answer is not all that the region has
-        wait_for("the others' turns", lambda: all(
+        # without an answer, the region's other gateways also ask
+        wait_for("the other gateways to ask", lambda: all(
             "asked=know" in f.log(n) for n in names), 1.5)
         for p in know:
             p.conn.close()
 
 
-def test_half_a_listing_says_nothing():
-    """A gateway that has taken the first page of a listing must not tell
-    others that it knows all up to the newest record on it."""
+def test_partial_listing_is_not_announced():
+    """A gateway that has read only the first page of a listing must not
+    announce that it knows all records up to the newest one on that page."""
     with Fleet(gateways=0, plain=0) as f:
         f.store.put("keyed.op", "version/m1", {"model": "m1", "version": 2})
         f.store.put("keyed.op", "config", policy(2, f.origin.address))
@@ -124,8 +128,10 @@
                  lambda: "named model=m1 version=2" in f.log("g0"), 2)
 
 
-def test_a_listing_that_was_overtaken_is_not_taken():
-    """Its last page tells an end up to which nobody has listed the first."""
+def test_outdated_listing_is_discarded():
+    """Records from a peer arrive between two pages of a listing. The listing
+    is discarded: its last page gives a newer end than its first page
+    covers."""
     with Fleet(gateways=0, plain=0) as f:
         f.store.put("keyed.op", "version/m1", {"model": "m1", "version": 2})
         f.store.page = 1
@@ -139,16 +145,16 @@
         know.send(records=fleet_pb2.Records(end=2, records=[
             fleet_pb2.Record(key="config", value=policy_1, offset=0),
             fleet_pb2.Record(key="version/m1", value=version, offset=1)]))
-        wait_for("what the neighbour told",
+        wait_for("the records from the peer",
                  lambda: "in force version=1" in f.log("g0"), 2)
         f.store.put("keyed.op", "config", policy(5, f.origin.address))
         f.store.next_page.set()
-        wait_for("what came after it",
+        wait_for("the record written after the first page",
                  lambda: "in force version=5" in f.log("g0"), 4)
         know.conn.close()
 
 
-def tell_for(peers, load, seconds):
+def send_load_for(peers, load, seconds):
     end = time.monotonic() + seconds
     while time.monotonic() < end:
         for p in peers:
@@ -156,9 +162,9 @@
         time.sleep(0.1)
 
 
-def test_who_the_store_leaves_out_asks_those_who_read():
-    """Bench: DRAIN. A gateway whose own reading failed for 3 s took nothing
-    from those that the store answered."""
+def test_gateway_without_store_requests_changes_from_readers():
+    """A gateway that cannot read the store takes engine changes from gateways
+    that can. One whose reads failed for 3 s during a drain took none."""
     with Fleet(plain=2) as f:
         f.wait_ready()
         f.store.take_down()
@@ -167,29 +173,31 @@
         reader = Peer(f.peers[0], hello("reader", "gateway"))
         load = fleet_pb2.Load(whole=True, reads_engines=True,
                               engines_age_ms=10, engines_changed=7)
-        tell_for([reader], load, 0.5)
+        send_load_for([reader], load, 0.5)
         assert any(x.HasField("fetch") and x.fetch.engines
                    for x in reader.frames_for(0.5))
         leaving = json.dumps(f.plain[0].record("draining")).encode()
         reader.send(records=fleet_pb2.Records(
             engines=True, end=7, records=[fleet_pb2.Record(
                 key="p0", value=leaving, offset=7)]))
-        wait_for("the told change", lambda: "draining engine=p0"
+        wait_for("the change from the reader", lambda: "draining engine=p0"
                  in f.log("g0"), 1)
-        # the store comes back with a record that is older than that
+        # the store returns with an older record than the reader sent
         f.store.bring_up()
         f.store.put("keyed.servers", "p0", f.plain[0].record())
         wait_for("the store", lambda: f.log("g0").count(
             "reached topic=engines") == 2)
         f.store.put("keyed.servers", "p1", f.plain[1].record("draining"))
-        wait_for("what stands behind it",
+        wait_for("the record after the older one",
                  lambda: "draining engine=p1" in f.log("g0"), 3)
         assert "ready again engine=p0" not in f.log("g0")
 
 
-def test_an_engine_that_went_before_our_listing_is_not_told_into_it():
-    """Calls went to an engine that had left: another gateway, which had listed
-    a moment before, told its record after ours, and nobody told its end."""
+def test_engine_removed_before_listing_is_not_added_by_peer():
+    """An engine's record that predates this gateway's listing is not taken
+    from a peer. A peer that had listed just before sent the record of an
+    engine that had left; no peer sent the removal, and calls went to that
+    engine."""
     with Fleet(gateways=0, plain=1) as f:
         old = f.add_engine("old", "ledger")
         f.store.put("keyed.servers", "old", None)
@@ -201,19 +209,20 @@
         teller.send(records=fleet_pb2.Records(
             engines=True, end=2, records=[fleet_pb2.Record(
                 key="old", value=record, offset=1)]))
-        wait_for("the word", lambda: "told by=teller" in f.log("g0"), 1)
+        wait_for("the record", lambda: "told by=teller" in f.log("g0"), 1)
         assert "new engine=old" not in f.log("g0")
-        # one that was written behind the listing is news
+        # a record that was written after the listing is new
         teller.send(records=fleet_pb2.Records(
             engines=True, end=9, records=[fleet_pb2.Record(
                 key="old", value=record, offset=8)]))
-        wait_for("the news", lambda: "new engine=old" in f.log("g0"), 1)
+        wait_for("the new engine", lambda: "new engine=old" in f.log("g0"), 1)
         teller.conn.close()
 
 
-def test_a_gateway_that_lost_power_is_dialled_again():
-    """Bench: DRAIN. Its old connection stood open at the other side, so it
-    was never dialled again, nor told what it asked for."""
+def test_gateway_is_redialled_after_power_loss():
+    """A restarted gateway is dialled again although the connection to its
+    previous run still seems open. During a drain, a gateway that had lost
+    power was never dialled again and got no answers to its requests."""
     with Fleet(plain=0) as f:
         f.wait_ready()
         with socket.create_server(("127.0.0.1", 0)) as listener:
@@ -229,7 +238,9 @@
                 conn.close()
 
 
-def test_a_change_that_nobody_tells_is_read_from_the_store():
+def test_change_that_no_peer_sends_is_read_from_store():
+    """Readers announce a change of an engine but send no records. A gateway
+    that relies on them must then read the store itself."""
     with Fleet(plain=1) as f:
         f.wait_ready()
         reading = fleet_pb2.Load(whole=True, reads_engines=True,
@@ -252,13 +263,14 @@
         assert "new engine=late" in f.log("g0")
 
 
-def test_two_gateways_read_engines_for_all():
-    """Price of store calls, 42 gateways: each read all records twice a
-    second. Two do; what changes reaches the others; both may die."""
+def test_two_gateways_read_engine_records_for_all():
+    """Two gateways read engine records from the store and send changes to the
+    others, which read for themselves once both are killed. With 42 gateways,
+    each one read all records twice a second, which made store calls costly."""
     with Fleet(gateways=5, plain=1) as f:
         f.wait_ready()
         names = [f"g{i}" for i in range(5)]
-        wait_for("three to rest", lambda: sum(
+        wait_for("three gateways to stop reading", lambda: sum(
             "heard from other gateways" in f.log(n) for n in names) == 3)
         readers = [n for n in names
                    if "heard from other gateways" not in f.log(n)]
@@ -274,8 +286,8 @@
         f.store.put("keyed.servers", "late", None)
         wait_for("all to know that it is gone", lambda: all(
             "gone engine=late" in f.log(n) for n in names), 1.5)
-        # Bench: DRAIN. One that has just started does not know what went
-        # before its listing, and must not be asked for it
+        # a gateway that has just started does not know which engines left
+        # before its listing, and must not be asked for these changes
         load = fleet_pb2.Load(reads_engines=True, engines_age_ms=10,
                               engines_changed=99, engines_since=90)
         new = Peer(f.peers[names.index(next(n for n in names
@@ -295,9 +307,10 @@
             for n in names if n not in readers), 2)
 
 
-def test_sidecars_are_told_what_concerns_them():
-    """Bench: 1,080 routes in quick succession, each time whole to every
-    sidecar, behind whose link calls and weights waited."""
+def test_sidecars_get_only_records_they_use():
+    """Sidecars are sent only the changes that they use. 1,080 route changes in
+    quick succession sent the whole configuration to every sidecar each time,
+    and calls and weights waited on the sidecars' links."""
     with Fleet(plain=0) as f:
         f.wait_ready()
         side = Peer(f.peers[0], hello("side", follow=True))
@@ -317,10 +330,10 @@
         assert [r.key for r in told] == ["version/m1"]
 
 
-def test_gateways_are_told_of_gateways_only_and_when_they_ask():
-    """Bench, 149 gateways: each sent each the names of all, 248 MB between
-    regions in the first four seconds. Each sidecar greets every gateway
-    itself."""
+def test_gateways_get_lists_of_gateways_only_on_request():
+    """Gateways send a list of gateways only on request, without sidecars,
+    which send a hello to every gateway themselves. With 149 gateways, each
+    sent all names to every other: 248 MB between regions in the first 4 s."""
     with Fleet(gateways=2, plain=0) as f:
         f.wait_ready()
         side = Peer(f.peers[0], hello("side", "sidecar"))
@@ -334,11 +347,12 @@
         assert not any(x.HasField("members") for x in frames)
         listener.send(fetch=fleet_pb2.Fetch(gateways=True))
         frames = listener.frames_for(0.5)
-        assert told_of(frames, "g1") == 1
-        assert told_of(frames, "side") == told_of(frames, "side-3") == 0
+        assert count_hellos(frames, "g1") == 1
+        assert count_hellos(frames, "side") == \
+            count_hellos(frames, "side-3") == 0
         told = other.frames_until_silence(0.5)
-        assert told_of(told, "side") == told_of(told, "side-3") == 1
-        # what was sent can be told apart by kind and by where it went
+        assert count_hellos(told, "side") == count_hellos(told, "side-3") == 1
+        # metrics count sent bytes by message kind and by reach
         far = Peer(f.peers[0], hello("far", "gateway", region="r9"))
         assert any(x.HasField("load") for x in far.frames_for(1.0))
         sent = f.metrics()
@@ -349,7 +363,9 @@
         side.conn.close()
 
 
-def test_who_knows_more_gateways_is_asked_for_them():
+def test_gateway_list_is_requested_from_peers_that_know_more():
+    """A gateway requests the list from one peer at a time. Asking all peers at
+    once would fetch the same list from each."""
     with Fleet(plain=0) as f:
         f.wait_ready()
         know = [Peer(f.peers[0], hello(f"know{i}", "gateway", gateways=9))
@@ -357,19 +373,20 @@
         time.sleep(1.0)
         asked = [[x for x in p.frames_for(0.02) if x.HasField("fetch")
                   and x.fetch.gateways] for p in know]
-        # one after the other, and nobody twice for the same
+        # one after the other, and no peer twice for the same list
         assert [len(a) for a in asked].count(1) in (3, 4)
         assert max(len(a) for a in asked) == 1
         ghost = hello("ghost", "gateway")
         know[0].send(members=fleet_pb2.Members(members=[ghost]))
-        wait_for("the gateway that was told of",
+        wait_for("the listed gateway",
                  lambda: "new name=ghost" in f.log("g0"), 2)
 
 
-def test_what_follows_a_record_that_went_unseen_is_heard():
-    """An engine's record goes while the store is away. Who lists the records
-    anew finds it missing, and does not know by which change; it must not take
-    the next change, another engine's leaving, for one that it has seen."""
+def test_change_after_an_unseen_removal_is_taken():
+    """An engine's record is removed during a store outage. A gateway that
+    lists the records again finds the record missing without knowing the offset
+    of the removal. The gateway must not treat the next change, the drain of
+    another engine, as one already seen."""
     with Fleet(gateways=4, plain=3) as f:
         f.wait_ready()
         names = ["g%d" % i for i in range(4)]
@@ -385,52 +402,55 @@
         listed = sum(count("engines: listed"))
         f.store.take_down()
         f.store.put("keyed.servers", "p2", None)
-        wait_for("others to read", lambda: readers() == 4)
+        wait_for("all gateways to read", lambda: readers() == 4)
         f.store.bring_up()
         wait_for("the listings", lambda: sum(
             count("engines: listed")) >= listed + 2)
         wait_for("the engine to be gone", lambda: all(
             count("gone engine=p2")))
         f.store.put("keyed.servers", "p1", f.plain[1].record("draining"))
-        wait_for("all to hear that an engine leaves", lambda: all(
+        wait_for("all to know that an engine drains", lambda: all(
             count("draining engine=p1")), 2)
 
 
-def asked_for_changes(peer, **more):
-    """What a gateway answers one that asks for all changes of engines."""
+def fetch_engine_changes(peer, **more):
+    """Returns the answer of a gateway to a request for all engine changes."""
     peer.send(fetch=fleet_pb2.Fetch(engines=True, **more))
     return next(x.records for x in peer.frames_for(1.0)
                 if x.HasField("records") and x.records.engines)
 
 
-# Bench, 149 gateways: the one that reads the store for all sent 53 MB in 40 s, the
-# same records of engines, as they are, to each of the others.
-def test_changes_of_engines_are_told_compressed():
+def test_engine_changes_are_sent_compressed():
+    """Engine changes are sent compressed to peers that can unpack them. With
+    149 gateways, the one that read the store for all sent 53 MB in 40 s, the
+    same uncompressed records to each of the others."""
     with Fleet(plain=40) as f:
         f.wait_ready()
         wait_for("all engines", lambda: "listed count=40" in f.log("g0"))
         before = Peer(f.peers[0], hello("before", "gateway"))
         now = Peer(f.peers[0], hello("now", "gateway"))
-        plain = asked_for_changes(before)  # of a build that does not unpack
+        plain = fetch_engine_changes(before)  # from a build that cannot unpack
         assert len(plain.records) == 40 and not plain.packed
-        for _ in range(2):  # the second one gets the same again
-            told = asked_for_changes(now, unpacks=True)
+        for _ in range(2):  # the second request gets the same answer
+            told = fetch_engine_changes(now, unpacks=True)
             assert len(told.packed) < plain.ByteSize() / 4
             assert not told.records and told.end == plain.end
             inner = fleet_pb2.Records.FromString(zlib.decompress(told.packed))
             assert {r.key for r in inner.records} == \
                 {r.key for r in plain.records}
-        # what changes a moment later is not left out
+        # a change just after the cached answer is included
         put = dict(f.plain[0].record("draining"))
         f.store.put("keyed.servers", f.plain[0].id, put)
-        wait_for("it to leave", lambda: "draining engine=p0" in f.log("g0"))
-        told = asked_for_changes(now, unpacks=True)
+        wait_for("the drain", lambda: "draining engine=p0" in f.log("g0"))
+        told = fetch_engine_changes(now, unpacks=True)
         inner = fleet_pb2.Records.FromString(zlib.decompress(told.packed))
         assert [b"draining" in r.value for r in inner.records
                 if r.key == "p0"] == [True]
 
 
-def test_compressed_changes_are_taken_and_odd_ones_are_not():
+def test_malformed_compressed_changes_are_rejected():
+    """Compressed changes that are no zlib data, have a wrong size or unpack to
+    no message are rejected with a log line. Valid ones are taken."""
     with Fleet(plain=0, dark_stores=(0,)) as f:
         wait_for("listening", lambda: ask(
             f.gateways[0]["readiness"], "GET", "/readyz")[0] == 503)
@@ -449,7 +469,7 @@
                              (zlib.compress(b"\xff" * 9), 9)):
             teller.send(records=fleet_pb2.Records(
                 engines=True, end=3, epoch=1, packed=packed, size=size))
-        wait_for("them to be passed over", lambda: f.log("g0").count(
+        wait_for("the three to be rejected", lambda: f.log("g0").count(
             "told records cannot be unpacked") == 3)
         teller.send(records=fleet_pb2.Records(
             engines=True, end=3, epoch=1, packed=zlib.compress(plain),
--- a/tests/test_start.py
+++ b/tests/test_start.py
@@ -1,4 +1,4 @@
-"""Starts of many processes: who is met, who reads the store, who waits."""
+"""Start of processes: discovery of peers, store reads, and early calls."""
 import json
 import socket
 import threading
@@ -20,9 +20,10 @@
     return json.loads(body)["addresses"]
 
 
-def test_each_answer_of_the_directory_names_others():
-    """More gateways than an answer may name: were it always the same ones,
-    all calls would come to them, and enter in their regions."""
+def test_directory_answers_vary():
+    """With more gateways than a directory answer can name, the answers must
+    vary. If they always named the same gateways, all calls would go to these
+    and enter in their regions."""
     others = ["127.0.0.1:%d" % p for p in range(20001, 20081)]
     with Fleet(plain=0) as f:
         f.wait_ready()
@@ -31,35 +32,35 @@
                  for i, address in enumerate(others)]
         load = fleet_pb2.Load(gateways=len(others) + 1, whole=True)
         named = set()
-        for _ in range(12):  # 17 of 81 are left out of each: none of all
+        for _ in range(12):  # each omits 17 of 81, all together none
             for peer in peers:
                 peer.send(load=load)
-            wait_for("all to be heard", lambda: len(
+            wait_for("an answer to name 64 gateways", lambda: len(
                 directory(f.gateways[0])) == 64, 2)
             named.update(directory(f.gateways[0]))
         assert named >= set(others) | {f.gateways[0]["callers"]}
 
 
 class DownHost:
-    """An address whose opening packets are lost until it comes up, as of a
-    host without power: its queue of new connections is full."""
+    """An address that simulates a host without power: its SYN packets are lost
+    until come_up(), because the queue of new connections is full."""
 
     def __init__(self):
         self.listener = socket.socket()
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(0)
         self.address = "127.0.0.1:%d" % self.listener.getsockname()[1]
-        self.fill = []
+        self.pending = []
         for _ in range(4):
             conn = socket.socket()
             conn.setblocking(False)
             conn.connect_ex(self.listener.getsockname())
-            self.fill.append(conn)
+            self.pending.append(conn)
 
     def come_up(self):
-        """Takes connections from now on; returns the first that says hello."""
+        """Accepts connections; returns the first that sends a hello."""
         own = set()
-        for conn in self.fill:
+        for conn in self.pending:
             try:
                 own.add(conn.getsockname())
             except OSError:
@@ -79,10 +80,10 @@
 
 
 @pytest.mark.parametrize("role", ["gateway", "sidecar"])
-def test_a_seed_that_comes_up_last_is_met_soon(role):
-    """All hosts lose power, and the seeds are the last to come back: the
-    opening packets to them are lost, and the kernel sends the next ones a
-    second later. Nobody else is known."""
+def test_seed_that_starts_last_is_connected_soon(role):
+    """All hosts lose power and the seeds come back last. The SYN packets to
+    them are lost, and the kernel sends the next ones only 1 s later. No other
+    process is known, so the seed must be connected sooner than that."""
     seed = DownHost()
     with Fleet(gateways=0, plain=0) as f:
         f.peers = [seed.address]
@@ -100,9 +101,10 @@
         peer.conn.close()
 
 
-def test_who_starts_is_told_what_others_have_read():
-    """The list of all engines is long. Were each gateway to read it from the
-    store, the start of hundreds would fill the links to its region."""
+def test_new_gateway_gets_records_from_peers():
+    """The list of all engines is long. If each gateway read the list from the
+    store, the start of hundreds of gateways would fill the links to the
+    store's region."""
     with Fleet(gateways=2, plain=3) as f:
         f.wait_ready()
         seeds = list(f.peers)
@@ -116,9 +118,10 @@
             assert status == 200
 
 
-def test_a_first_read_is_not_taken_for_the_return_of_the_store():
-    """One that was told by others reads for itself once they are gone. A record
-    that is missing then has not lapsed in an outage: its engine leaves."""
+def test_first_read_is_not_treated_as_store_recovery():
+    """A gateway that got its records from peers reads the store once the peers
+    are gone. An engine whose record is missing in that first read has left;
+    the record did not lapse in a store outage."""
     with Fleet(gateways=2, plain=2) as f:
         f.wait_ready()
         f.add_gateways(1, {"seeds": list(f.peers)})
@@ -126,13 +129,15 @@
         for name in ("g0", "g1"):
             f.procs[name].kill()
         f.store.put("keyed.servers", "p1", None)
-        wait_for("it to list", lambda: "listed count=1" in f.log("g2"), 4)
+        wait_for("the listing", lambda: "listed count=1" in f.log("g2"), 4)
         wait_for("the engine to be gone",
                  lambda: "gone engine=p1" in f.log("g2"), 0.5)
         assert "lapsed engine=p1" not in f.log("g2")
 
 
-def test_who_starts_while_the_store_turns_it_away_is_told_by_others():
+def test_new_gateway_without_store_gets_records_from_peers():
+    """A gateway that cannot reach the store at its start becomes ready with
+    records from its peers."""
     with Fleet(gateways=2, plain=1) as f:
         f.wait_ready()
         dead = "127.0.0.1:%d" % free_ports(1)[0]
@@ -141,14 +146,17 @@
         assert f.call("/safe/x", "c1", gateway=2)[0] == 200
 
 
-def test_seeds_that_are_down_for_good_are_not_waited_for_long():
+def test_wait_for_unreachable_seeds_is_bounded():
+    """A gateway whose only seed stays down must still become ready."""
     seed = DownHost()
     with Fleet(gateways=0, plain=1) as f:
         f.add_gateways(1, {"seeds": [seed.address]})
         wait_for("the gateway to be ready", lambda: f.ready(0), 2.5)
 
 
-def test_a_reader_that_the_store_turns_away_rests_once_others_read():
+def test_reader_without_store_stops_once_others_read():
+    """A restarted gateway that cannot reach the store makes no further store
+    calls once two other gateways read."""
     with Fleet(gateways=4, plain=1) as f:
         f.wait_ready()
         names = ["g%d" % i for i in range(4)]
@@ -166,46 +174,47 @@
         f.procs[first].wait()
         i = int(first[1:])
         dead = "127.0.0.1:%d" % free_ports(1)[0]
-        wait_for("another to read", lambda: len(
+        wait_for("another gateway to read", lambda: len(
             [n for n in readers() if n != first]) == 2, 5)
         f.start_gateway(i, settings={"store": dead})
-        wait_for("it to be ready", lambda: f.ready(i), 5)
+        wait_for("the restarted gateway to be ready", lambda: f.ready(i), 5)
         time.sleep(2.5)
         calls = f.metrics(i)["quayring_store_calls_total"]
         time.sleep(3)
         assert f.metrics(i)["quayring_store_calls_total"] == calls
 
 
-def test_of_two_records_at_an_address_the_later_counts():
-    """An engine has started anew under another id; its record of before stands
-    in the store until its lease runs out. Calls sent there by that id are
-    turned away, and each costs a retry."""
+def test_later_of_two_records_at_an_address_is_used():
+    """An engine restarts under another id, and the record of its previous run
+    stays in the store until the lease expires. Calls sent with the old id are
+    rejected, and each costs a retry."""
     with Fleet(plain=1) as f:
         f.wait_ready()
         engine = f.plain[0]
-        turned_away = []
+        rejected_calls = []
 
-        def only_itself(e, conn, request):
+        def accept_own_id(e, conn, request):
             if request.headers["x-expect-instance"] == e.id:
                 return e.work(conn, request)
-            turned_away.append(request)
+            rejected_calls.append(request)
             answer(conn, 421, b"", e.head(request))
             return True
 
-        engine.behave = only_itself
+        engine.behave = accept_own_id
         engine.id = "p0-anew"
         f.store.put("keyed.servers", engine.id, engine.record())
-        wait_for("its record", lambda: "new engine=p0-anew" in f.log("g0"), 4)
-        f.add_gateways(1)  # it lists both at once
-        wait_for("the other one to be ready", lambda: f.ready(1))
+        wait_for("the record", lambda: "new engine=p0-anew" in f.log("g0"), 4)
+        f.add_gateways(1)  # lists both records at once
+        wait_for("the second gateway to be ready", lambda: f.ready(1))
         for i in range(20):
             assert f.call("/unsafe/x", "c%d" % i, gateway=i % 2)[0] == 200
-        assert not turned_away
+        assert not rejected_calls
 
 
-def test_a_call_before_the_first_configuration_waits_for_it():
-    """Callers who lost their connection as all processes were killed have one
-    more try, and some are back before anything is known again."""
+def test_early_call_waits_for_first_configuration():
+    """Callers that lost their connection when all processes were killed have
+    one more try. Some call again before a gateway has its first
+    configuration."""
     with Fleet(plain=1) as f:
         f.wait_ready()
         f.store.take_down()
@@ -221,7 +230,9 @@
         assert got == [200]
 
 
-def test_a_call_before_the_first_configuration_is_not_kept_for_long():
+def test_wait_for_first_configuration_is_bounded():
+    """Without a configuration, an early call is refused with Retry-After
+    before half of the caller's deadline has passed."""
     with Fleet(plain=1) as f:
         f.wait_ready()
         f.store.take_down()
--- a/tests/test_suspended_host.py
+++ b/tests/test_suspended_host.py
@@ -1,5 +1,6 @@
-"""A host that is suspended for a while: the steady clock does not count that
-time, so all that was heard before would seem fresh, and no bound would run."""
+"""Suspended hosts. CLOCK_MONOTONIC does not count the time of a suspension, so
+with that clock old messages would seem recent and no time bound would
+expire."""
 import os
 import signal
 import subprocess
@@ -16,15 +17,15 @@
 
 
 class SuspendedFleet(Fleet):
-    """Its processes' hosts can be suspended: see suspend_host.c."""
+    """A fleet whose hosts can be suspended: see suspend_host.c."""
 
     def __init__(self, shim, **more):
-        self.shim, self.asleep_ms = shim, 0
+        self.shim, self.suspended_ms = shim, 0
         super().__init__(**more)
 
     def start(self, name, role, path):
         file = os.path.join(self.dir, "suspended")
-        self.write(file)
+        self.write_suspended_ms(file)
         os.environ.update(LD_PRELOAD=self.shim, QUAYRING_TEST_SUSPENDED=file,
                           ASAN_OPTIONS="verify_asan_link_order=0")
         try:
@@ -34,21 +35,21 @@
                         "ASAN_OPTIONS"):
                 del os.environ[key]
 
-    def write(self, file):
+    def write_suspended_ms(self, file):
         with open(file, "w", encoding="ascii") as f:
-            f.write("%d\n" % self.asleep_ms)
+            f.write("%d\n" % self.suspended_ms)
 
     def suspend(self, seconds):
-        """All are suspended at once; returns when they are awake again."""
+        """Suspends all hosts at once; returns when all have resumed."""
         for p in self.procs.values():
             p.send_signal(signal.SIGSTOP)
-        self.asleep_ms += int(seconds * 1000)
-        self.write(os.path.join(self.dir, "suspended"))
+        self.suspended_ms += int(seconds * 1000)
+        self.write_suspended_ms(os.path.join(self.dir, "suspended"))
         before = {n: self.log(n).count("stood still") for n in self.procs}
         for p in self.procs.values():
             p.send_signal(signal.SIGCONT)
         for name, n in before.items():
-            wait_for("%s to wake" % name, lambda name=name, n=n:
+            wait_for("%s to resume" % name, lambda name=name, n=n:
                      self.log(name).count("stood still") > n)
 
 
@@ -60,7 +61,9 @@
     return out
 
 
-def test_a_bound_of_weights_runs_on(shim):
+def test_version_bound_counts_suspended_time(shim):
+    """The time until which engines may serve an older weight version includes
+    a suspension: a 20 s bound has expired after 30 s of it."""
     with SuspendedFleet(shim, gateways=1, plain=1, version_ms=20000) as fleet:
         fleet.wait_ready()
         old = fleet.add_engine("m0", "engines", MODEL, 1)
@@ -76,10 +79,12 @@
         assert status == 503 and not old.seen
 
 
-def test_a_call_that_was_under_way_is_given_up_when_its_time_is_over(shim):
+def test_call_deadline_counts_suspended_time(shim):
+    """A call whose deadline passed during a suspension fails within 1 s of the
+    resume."""
     began = threading.Event()
 
-    def waits(engine, conn, request):
+    def answer_late(engine, conn, request):
         began.set()
         time.sleep(8)
         answer(conn, 200, b"late", engine.head(request))
@@ -87,7 +92,7 @@
 
     with SuspendedFleet(shim, gateways=1, plain=1) as fleet:
         fleet.wait_ready()
-        fleet.plain[0].behave = waits
+        fleet.plain[0].behave = answer_late
         got = []
         call = threading.Thread(target=lambda: got.append(
             (fleet.call("/unsafe/x", "c", deadline=2500)[0],
@@ -95,14 +100,15 @@
         call.start()
         assert began.wait(5)
         fleet.suspend(5)
-        woke = time.monotonic()
+        resumed_at = time.monotonic()
         call.join(10)
-        assert got[0][0] in (502, 504) and got[0][1] < woke + 1, got
+        assert got[0][0] in (502, 504) and got[0][1] < resumed_at + 1, got
 
 
-def test_who_wakes_serves_at_once(shim):
-    """Gateways that were suspended together do not take one another, nor
-    engines, for gone; what they told before counts for as long as it is old."""
+def test_gateways_serve_at_once_after_resume(shim):
+    """Gateways that were suspended together do not treat each other or engines
+    as gone on resume. What they reported before the suspension still counts,
+    with its age."""
     with SuspendedFleet(shim, gateways=2, plain=2) as fleet:
         fleet.wait_ready()
         assert fleet.call("/safe/x", "before")[0] == 200
