--- a/tests/test_store_goes_back.py
+++ b/tests/test_store_goes_back.py
@@ -80,8 +80,8 @@
 
 
 class Callers:
-    """Calls each gateway in turn for 'seconds'. Collects failed calls, calls that
-    reached the leaving engine too late, and calls at the new engine."""
+    """Calls each gateway in turn for 'seconds'. Collects failed calls, calls
+    that reached the leaving engine too late, and calls at the new engine."""
 
     def __init__(self, f, new, seconds):
         self.bad, self.late, self.at_new = [], [], set()
@@ -130,14 +130,15 @@
 # A gateway ignored a configuration written after the rollback, because its
 # offset had been assigned before.
 @pytest.mark.parametrize("gateways, written, wait_s, times", ROWS)
-def test_configuration_written_after_rollback_is_applied(gateways, written, wait_s, times):
+def test_configuration_written_after_rollback_is_applied(
+        gateways, written, wait_s, times):
     with Fleet(gateways=gateways, plain=3) as f:
         write_after_rollback(f, written, wait_s, times)
         wait_served(f, "/added/x", APPLY_S)
 
 
-# An engine whose leaving was written after the rollback still got calls, because
-# the offset of that record had been assigned before.
+# An engine whose leaving was written after the rollback still got calls,
+# because the offset of that record had been assigned before.
 @pytest.mark.parametrize("gateways, written, wait_s, times", ROWS)
 def test_engine_leaving_after_rollback_gets_no_calls(gateways, written, wait_s,
                                                times):
@@ -157,7 +158,7 @@
         time.sleep(1.5)
         before, gone = f.store.calls, f.store.gone
         time.sleep(2.0)
-        # two readers: one read each second and one long poll each, with a margin
+        # two readers: a read each second and a long poll each, and a margin
         assert f.store.calls - before <= 20
         assert f.store.gone == gone
 
@@ -224,8 +225,8 @@
 
 
 # Once the new epoch has settled, the store's records count: an engine that was
-# known as gone and still has a record is used, also by gateways that do not read
-# the store.
+# known as gone and still has a record is used, also by gateways that do not
+# read the store.
 def test_engine_in_restored_store_is_used_after_settling():
     with Fleet(gateways=4, plain=2) as f:
         f.wait_ready()
@@ -235,7 +236,7 @@
             wait_for("all to know", lambda g=g: (
                 "gone engine=p0" in f.log("g%d" % g)), 4)
         roll_back(f, {"keyed.servers": 1})
-        put_engine(f, f.plain[1], "draining")  # its position is behind what all have received
+        put_engine(f, f.plain[1], "draining")  # all know this offset
         wait_for("all to use it", lambda: all(
             " back engine=p0" in f.log("g%d" % g) or
             f.log("g%d" % g).count(" new engine=p0") > 1
@@ -352,8 +353,8 @@
 
 
 # The restored store kept the record of an engine that had ended. Once the epoch
-# had settled, that record ended the engine that had taken its address since. Seen
-# with 16 gateways, seed 204 of the soak test.
+# had settled, that record ended the engine that had taken its address since.
+# Seen with 16 gateways, seed 204 of the soak test.
 def test_restored_record_does_not_end_later_engine():
     with Fleet(gateways=4, plain=2) as f:
         f.wait_ready()
--- a/tests/test_versions_age.py
+++ b/tests/test_versions_age.py
@@ -15,7 +15,8 @@
 from peer import Peer, hello
 from silent_link import SilentLink
 
-CLOCK_MS = 100  # the event loop's clock is read once per iteration; the log has its own
+# The event loop reads its clock once per iteration; the log has its own clock.
+CLOCK_MS = 100
 
 
 def name_version(f, version):
@@ -71,7 +72,7 @@
         age, truth = assigned_and_true_age(f, "g0", 2, put)
         for r in readers:
             r.conn.close()
-    return age, truth, 4500  # the best bound known is the start of the paused reads
+    return age, truth, 4500  # reads have been paused for so long
 
 
 def gateway_with_killed_readers():
@@ -87,7 +88,7 @@
                 f.procs[n].kill()
         put = name_version(f, 2)
         age, truth = assigned_and_true_age(f, rested, 2, put)
-    return age, truth, 2500  # since the readers' last answer, plus one long poll
+    return age, truth, 2500  # since the readers' last answer, and a long poll
 
 
 def sidecar_with_paused_reads():
@@ -147,15 +148,15 @@
 
 
 def test_outage_of_one_gateway_is_not_a_store_outage():
-    """A gateway that alone lost the store assigned at most 0.9 s (2.8 s with the
-    settings of sites) to a version named at the start of the outage. The bound
+    """A gateway that alone lost the store assigned at most 0.9 s (2.8 s with
+    the settings of sites) to a version named at the start of the outage. The bound
     ran on, because other gateways read the store. A gateway that hears no other
     cannot send_heartbeats, and must assume the same."""
     check(cut_off_while_others_read, cut_off_and_hears_nobody)
 
 
 def test_outage_of_all_gateways_is_a_store_outage():
-    """Bounds do not run in an outage of the store (see also test_gateway.py)."""
+    """Bounds do not run in an outage of the store: see test_gateway.py."""
     with Fleet(gateways=0, plain=0) as f:
         f.add_gateways(1, {"operator_wait_ms": 100})
         f.wait_ready()
@@ -196,8 +197,8 @@
 
 
 def test_version_named_during_suspension_is_not_new():
-    """A version named while the process was suspended got age 0 if the suspension
-    was shorter than a read may take (2.8 s), and at most 2.8 s if longer."""
+    """A version named while the process was suspended got age 0 if the
+    suspension was shorter than a read may take (2.8 s), and at most 2.8 s if longer."""
     check(suspended_briefly, suspended_long)
 
 
@@ -228,8 +229,8 @@
 
 
 def test_starting_gateway_learns_of_older_versions():
-    """A gateway started just after a version was named let calls begin on weights
-    whose bound was long past. The store keeps the newest version only, and the
+    """A gateway started just after a version was named let calls begin on
+    weights whose bound was long past. The store keeps the newest version only, and the
     gateway did not know the version before, which was in force."""
     with Fleet(plain=0, version_ms=3000) as f:
         f.wait_ready()
