--- a/tests/test_store_goes_back.py
+++ b/tests/test_store_goes_back.py
@@ -140,8 +140,8 @@
 # An engine whose leaving was written after the rollback still got calls,
 # because the offset of that record had been assigned before.
 @pytest.mark.parametrize("gateways, written, wait_s, times", ROWS)
-def test_engine_leaving_after_rollback_gets_no_calls(gateways, written, wait_s,
-                                               times):
+def test_engine_leaving_after_rollback_gets_no_calls(
+        gateways, written, wait_s, times):
     with Fleet(gateways=gateways, plain=3) as f:
         new = write_after_rollback(f, written, wait_s, times)
         callers = Callers(f, new, WATCH_S)
@@ -236,7 +236,8 @@
             wait_for("all to know", lambda g=g: (
                 "gone engine=p0" in f.log("g%d" % g)), 4)
         roll_back(f, {"keyed.servers": 1})
-        put_engine(f, f.plain[1], "draining")  # all know this offset
+        # so that p0's record is behind the position that all gateways know
+        put_engine(f, f.plain[1], "draining")
         wait_for("all to use it", lambda: all(
             " back engine=p0" in f.log("g%d" % g) or
             f.log("g%d" % g).count(" new engine=p0") > 1
--- a/tests/test_versions_age.py
+++ b/tests/test_versions_age.py
@@ -149,9 +149,9 @@
 
 def test_outage_of_one_gateway_is_not_a_store_outage():
     """A gateway that alone lost the store assigned at most 0.9 s (2.8 s with
-    the settings of sites) to a version named at the start of the outage. The bound
-    ran on, because other gateways read the store. A gateway that hears no other
-    cannot send_heartbeats, and must assume the same."""
+    the settings of sites) to a version named at the start of the outage. The
+    bound ran on, because other gateways read the store. A gateway that hears no
+    other cannot tell, and must assume the same."""
     check(cut_off_while_others_read, cut_off_and_hears_nobody)
 
 
@@ -198,7 +198,8 @@
 
 def test_version_named_during_suspension_is_not_new():
     """A version named while the process was suspended got age 0 if the
-    suspension was shorter than a read may take (2.8 s), and at most 2.8 s if longer."""
+    suspension was shorter than a read may take (2.8 s), and at most 2.8 s if
+    longer."""
     check(suspended_briefly, suspended_long)
 
 
@@ -230,7 +231,8 @@
 
 def test_starting_gateway_learns_of_older_versions():
     """A gateway started just after a version was named let calls begin on
-    weights whose bound was long past. The store keeps the newest version only, and the
+    weights whose bound was long past. The store keeps the newest version only,
+    and the
     gateway did not know the version before, which was in force."""
     with Fleet(plain=0, version_ms=3000) as f:
         f.wait_ready()
