--- a/src/gateway/qr_gateway.c
+++ b/src/gateway/qr_gateway.c
@@ -319,7 +319,8 @@
             ? g->started_ms
             : g->started_ms + FIRST_READ_DELAY_MS +
                   qr_hash_str(set->host, g->incarnation) % FIRST_READ_JITTER_MS;
-    qr_operator_init(&g->operator, g->platform, qr_gateway_forward_operator_record, g);
+    qr_operator_init(&g->operator, g->platform,
+                     qr_gateway_forward_operator_record, g);
     qr_engines_init(&g->engines);
     g->engine_changes = qr_gateway_engine_changes_new();
     qr_members_init(&g->members);
--- a/src/gateway/qr_gateway.h
+++ b/src/gateway/qr_gateway.h
@@ -161,7 +161,7 @@
 void qr_gateway_forward_operator_record(void *owner, const QRStoreRecord *r);
 /* Notes which of the operator's records another gateway knows. */
 void qr_gateway_note_peer_knowledge(QRGateway *g, QRFleetMember *member,
-                           const QRKnowledge *known);
+                                    const QRKnowledge *known);
 /* Asks a gateway that knows more of the operator's records, when due. */
 void qr_gateway_catch_up(QRGateway *g, uint64_t now_ms);
 /*
@@ -175,7 +175,7 @@
 /* Sort key for choosing a gateway to ask, lowest first: gateways of our region
    come before others, in an order given by a hash of name and 'dice'. */
 uint64_t qr_gateway_peer_rank(const QRGateway *g, const QRFleetMember *m,
-                               uint64_t dice);
+                              uint64_t dice);
 /* Number of live gateways of our region that come before us in asking other
    regions; 'what' seeds the order. */
 unsigned qr_gateway_region_rank(const QRGateway *g, uint64_t what,
@@ -187,7 +187,8 @@
 /* Sends the list of gateways to a peer that asked for it. */
 void qr_gateway_send_members(const QRGateway *g, QRPeerConn *peer);
 /* Takes operator's records that another gateway sent on request. */
-void qr_gateway_take_operator_records(QRGateway *g, const Qr__Fleet__Records *records);
+void qr_gateway_take_operator_records(QRGateway *g,
+                                      const Qr__Fleet__Records *records);
 /* Takes an engine's record from the store or from a gateway that reads it. */
 void qr_gateway_take_engine_record(QRGateway *g, const QRStoreRecord *r);
 /* Removes engines whose records lapsed in a store outage and were not written
@@ -259,7 +260,7 @@
  * leaving engine will soon be no source of weights.
  */
 void qr_gateway_set_sidecar_leaving(QRGateway *g, const char *engine_address,
-                               bool leaves);
+                                    bool leaves);
 /* Drops sidecars that have been silent for too long. */
 void qr_gateway_expire_sidecars(QRGateway *g, uint64_t now_ms);
 /* Tells every gateway whether we are leaving. */
--- a/src/gateway/qr_gateway_catchup.c
+++ b/src/gateway/qr_gateway_catchup.c
@@ -85,8 +85,9 @@
 
 bool qr_gateway_catch_up_is_overdue(const QRGateway *g, uint64_t now_ms)
 {
-    return g->operator_behind_since_ms > 0 && now_ms >= g->operator_behind_since_ms + CATCH_UP_TIMEOUT_MS +
-                                             remote_fetch_delay_ms(g, now_ms);
+    return g->operator_behind_since_ms > 0 &&
+           now_ms >= g->operator_behind_since_ms + CATCH_UP_TIMEOUT_MS +
+                         remote_fetch_delay_ms(g, now_ms);
 }
 
 /* Returns the connection of a gateway that knows more than this one, or NULL.
@@ -102,7 +103,8 @@
 
         if (!m || strcmp(m->role, QR_ROLE_GATEWAY) != 0 || !knows_more(g, m))
             continue;
-        if (!best || qr_gateway_peer_rank(g, m, g->operator_fetches) < least_rank) {
+        if (!best ||
+            qr_gateway_peer_rank(g, m, g->operator_fetches) < least_rank) {
             best = peer;
             least_rank = qr_gateway_peer_rank(g, m, g->operator_fetches);
         }
@@ -152,17 +154,19 @@
             "operator records behind own=%" G_GUINT64_FORMAT
             " behind_for_ms=%" G_GUINT64_FORMAT
             " asked=%s policy=%" G_GUINT64_FORMAT " theirs=%" G_GUINT64_FORMAT,
-            own.offset, now_ms - g->operator_behind_since_ms, m->name, own.policy,
-            m->known.policy);
+            own.offset, now_ms - g->operator_behind_since_ms, m->name,
+            own.policy, m->known.policy);
 }
 
 static void fetch_missing_records(QRGateway *g, uint64_t now_ms)
 {
-    uint64_t due = g->operator_behind_since_ms + (g->store_reads_paused ? 0 : STORE_READ_DELAY_MS);
+    uint64_t due = g->operator_behind_since_ms +
+                   (g->store_reads_paused ? 0 : STORE_READ_DELAY_MS);
     QRPeerConn *source;
 
     if (g->operator_behind_since_ms == 0 || now_ms < due ||
-        (g->operator_fetch_ms > 0 && now_ms < g->operator_fetch_ms + FETCH_RETRY_MS))
+        (g->operator_fetch_ms > 0 &&
+         now_ms < g->operator_fetch_ms + FETCH_RETRY_MS))
         return;
     if (!is_behind(g, now_ms)) {
         g->operator_behind_since_ms = 0;
@@ -256,7 +260,8 @@
             r->earlier[k]->age_ms += transit_ms;
     }
     qr_operator_heard(&g->operator, records, now);
-    g->operator_fetch_ms = g->operator_behind_since_ms = 0; /* a peer that knows more reports again */
+    g->operator_fetch_ms = g->operator_behind_since_ms =
+        0; /* a peer that knows more reports again */
     /* records that a peer sent are not read again from the store */
     end = qr_position_told(records->epoch, records->end, g->store_epoch);
     qr_gateway_note_epoch(g, end.epoch);
--- a/src/gateway/qr_gateway_share.c
+++ b/src/gateway/qr_gateway_share.c
@@ -324,8 +324,8 @@
     if (qr_share_own_reads_are_fresh(g, now_ms))
         return;
     qr_share_fetch_engines(g, now_ms);
-    if (g->store_reads_paused &&
-        (lacks_engine_changes(g, now_ms) || qr_gateway_catch_up_is_overdue(g, now_ms))) {
+    if (g->store_reads_paused && (lacks_engine_changes(g, now_ms) ||
+                                  qr_gateway_catch_up_is_overdue(g, now_ms))) {
         g->enough_readers_since_ms = g->engines_behind_since_ms = 0;
         set_reading(g, true);
     }
--- a/src/gateway/qr_relay_answer.c
+++ b/src/gateway/qr_relay_answer.c
@@ -12,7 +12,8 @@
     QRServiceStats *s = qr_gateway_stats(r->g, r->service);
     uint64_t now = qr_gateway_now(r->g);
 
-    s->mean_call_ms += SMOOTHING * ((double)(now - r->now.sent_ms) - s->mean_call_ms);
+    s->mean_call_ms +=
+        SMOOTHING * ((double)(now - r->now.sent_ms) - s->mean_call_ms);
 }
 
 static void pass_started(QRRelay *r)
--- a/src/gateway/qr_relay_slot.c
+++ b/src/gateway/qr_relay_slot.c
@@ -77,7 +77,8 @@
     };
 
     /* 0 is no call */
-    wish.call = ++g->last_slot_request ? g->last_slot_request : ++g->last_slot_request;
+    wish.call =
+        ++g->last_slot_request ? g->last_slot_request : ++g->last_slot_request;
     r->slot.call = wish.call;
     r->slot.engine = g_strdup(c->engine->record->id);
     r->slot.asked_ms = qr_gateway_now(g);
--- a/src/gateway/qr_startup_calls.c
+++ b/src/gateway/qr_startup_calls.c
@@ -26,7 +26,8 @@
 {
     /* handling a call may close others and remove them from the queue: no link
        of the queue is kept across iterations */
-    for (unsigned n = g->early_calls.length; n > 0 && g->early_calls.length > 0; n--) {
+    for (unsigned n = g->early_calls.length; n > 0 && g->early_calls.length > 0;
+         n--) {
         QRStartupCall *c = g_queue_pop_head(&g->early_calls);
         bool is_due = now_ms >= c->wait_until_ms;
 
