--- a/tests/unit_epochs.c
+++ b/tests/unit_epochs.c
@@ -1,7 +1,7 @@
 /*
- * A store that comes back without its last records and gives their offsets out
- * again: positions, the epoch that answers name, and what processes know of the
- * operator's records, by a model of the store.
+ * Tests of a store that is restored without its latest records and assigns
+ * their offsets again: comparison of positions, decoding of the epoch, and the
+ * operator's records that processes know, checked against a model of the store.
  */
 #include "unit_epochs.h"
 
@@ -12,12 +12,12 @@
 
 #define PROCESSES 5
 #define STEPS 400
-#define MESSAGES 32 /* under way at most */
+#define MESSAGES_MAX 32 /* under way at most */
 #define SEEDS 200
 #define CONFIG "config"
 #define WEIGHTS "version/m"
 
-START_TEST(positions_go_by_the_epoch_first)
+START_TEST(positions_compare_epoch_before_offset)
 {
     QRPosition before = {1, 30}, copy = {2, 5}, none = {0};
 
@@ -65,19 +65,19 @@
 }
 END_TEST
 
-static void no_news(void *owner, const QRStoreRecord *r)
+static void ignore_record(void *owner, const QRStoreRecord *r)
 {
     (void)owner;
     (void)r;
 }
 
-static void start(QROperator *o)
+static void init_operator(QROperator *o)
 {
-    qr_operator_init(o, qr_platform_find("log-store"), no_news, NULL);
+    qr_operator_init(o, qr_platform_find("log-store"), ignore_record, NULL);
 }
 
-static void take(QROperator *o, const char *key, uint64_t version,
-                 QRPosition at)
+static void apply_record(QROperator *o, const char *key, uint64_t version,
+                         QRPosition at)
 {
     g_autofree char *text =
         strcmp(key, CONFIG) == 0
@@ -92,73 +92,78 @@
     g_bytes_unref(r.value);
 }
 
-static void hear(void *to, const Qr__Fleet__Frame *frame)
+static void apply_frame(void *to, const Qr__Fleet__Frame *frame)
 {
     qr_operator_apply_records(to, frame->records, 1000);
 }
 
-static uint64_t policy_of(const QROperator *o)
+static uint64_t policy_version(const QROperator *o)
 {
     return qr_operator_known_versions(o).policy;
 }
 
-/* Offsets that were given out again: what is written there counts. */
-START_TEST(operator_takes_what_is_written_after)
+/* A restored store assigns offsets again. Guards against ignoring a newer
+   record because its offset is not greater than that of a lost one. */
+START_TEST(operator_applies_records_written_after_restore)
 {
     QROperator o = {0};
 
-    start(&o);
-    take(&o, CONFIG, 24, (QRPosition){1, 6});
-    take(&o, CONFIG, 18, (QRPosition){2, 3}); /* the copy has it still */
-    ck_assert_uint_eq(policy_of(&o), 24);
-    take(&o, CONFIG, 31, (QRPosition){2, 4});
-    ck_assert_uint_eq(policy_of(&o), 31);
-    /* late, from before */
-    take(&o, CONFIG, 24, (QRPosition){1, 6});
-    ck_assert_uint_eq(policy_of(&o), 31);
+    init_operator(&o);
+    apply_record(&o, CONFIG, 24, (QRPosition){1, 6});
+    apply_record(&o, CONFIG, 18,
+                 (QRPosition){2, 3}); /* still in the restored copy */
+    ck_assert_uint_eq(policy_version(&o), 24);
+    apply_record(&o, CONFIG, 31, (QRPosition){2, 4});
+    ck_assert_uint_eq(policy_version(&o), 31);
+    /* a late message from before the restore */
+    apply_record(&o, CONFIG, 24, (QRPosition){1, 6});
+    ck_assert_uint_eq(policy_version(&o), 31);
     qr_operator_clear(&o);
 }
 END_TEST
 
-/* One that started from the copy did not hear of what the store had lost. */
-START_TEST(operator_tells_what_the_store_has_lost)
+/* A process that started from a restored store does not know the records that
+   the store has lost. Guards against peers not sending these records. */
+START_TEST(operator_sends_records_that_the_store_lost)
 {
     QROperator old = {0}, fresh = {0};
-    QRKnownVersions known, lost;
+    QRKnownVersions known, old_versions;
 
-    start(&old);
-    start(&fresh);
-    take(&old, CONFIG, 24, (QRPosition){1, 6});
-    /* offsets have been given out again, and more than before */
-    take(&fresh, CONFIG, 18, (QRPosition){2, 9});
+    init_operator(&old);
+    init_operator(&fresh);
+    apply_record(&old, CONFIG, 24, (QRPosition){1, 6});
+    /* offsets were assigned again, beyond the former end */
+    apply_record(&fresh, CONFIG, 18, (QRPosition){2, 9});
     known = qr_operator_known_versions(&fresh);
-    lost = qr_operator_known_versions(&old);
-    ck_assert(qr_known_versions_exceed(&lost, &known));
-    ck_assert(!qr_known_versions_exceed(&known, &lost));
-    qr_operator_send_missing(&old, &known, QR_FOR_GATEWAYS, 1000, hear, &fresh);
-    ck_assert_uint_eq(policy_of(&fresh), 24);
-    /* where the store has come to is not forgotten by that */
+    old_versions = qr_operator_known_versions(&old);
+    ck_assert(qr_known_versions_exceed(&old_versions, &known));
+    ck_assert(!qr_known_versions_exceed(&known, &old_versions));
+    qr_operator_send_missing(&old, &known, QR_FOR_GATEWAYS, 1000, apply_frame,
+                             &fresh);
+    ck_assert_uint_eq(policy_version(&fresh), 24);
+    /* the older record does not move the known end of the store back */
     ck_assert_int_eq(qr_position_cmp(fresh.end, (QRPosition){2, 10}), 0);
-    ck_assert(!qr_known_versions_exceed(&lost, &lost));
+    ck_assert(!qr_known_versions_exceed(&old_versions, &old_versions));
     qr_operator_clear(&old);
     qr_operator_clear(&fresh);
 }
 END_TEST
 
-/* A version that is written again began its bound when it was written first. */
-START_TEST(operator_versions_written_again_are_no_younger)
+/* The bound of a version starts when the version was first written. Guards
+   against a later start when the same version is written again. */
+START_TEST(operator_rewritten_version_keeps_its_time)
 {
     QROperator old = {0}, fresh = {0};
     QRKnownVersions nothing = {0};
 
-    start(&old);
-    start(&fresh);
-    take(&old, WEIGHTS, 3, (QRPosition){1, 14});
-    take(&fresh, WEIGHTS, 3, (QRPosition){2, 9});
-    qr_operator_send_missing(&fresh, &nothing, QR_FOR_GATEWAYS, 9000, hear,
-                             &old);
+    init_operator(&old);
+    init_operator(&fresh);
+    apply_record(&old, WEIGHTS, 3, (QRPosition){1, 14});
+    apply_record(&fresh, WEIGHTS, 3, (QRPosition){2, 9});
+    qr_operator_send_missing(&fresh, &nothing, QR_FOR_GATEWAYS, 9000,
+                             apply_frame, &old);
     ck_assert_uint_eq(qr_operator_newest_version(&old, "m")->since_ms, 1000);
-    qr_operator_send_missing(&old, &nothing, QR_FOR_GATEWAYS, 1500, hear,
+    qr_operator_send_missing(&old, &nothing, QR_FOR_GATEWAYS, 1500, apply_frame,
                              &fresh);
     ck_assert_uint_eq(qr_operator_newest_version(&fresh, "m")->since_ms, 500);
     qr_operator_clear(&old);
@@ -166,23 +171,24 @@
 }
 END_TEST
 
-typedef struct Written {
+typedef struct WrittenRecord {
     const char *key;
     uint64_t version;
-} Written;
+} WrittenRecord;
 
 typedef struct Model {
-    GArray *log; /* Written */
+    GArray *log; /* WrittenRecord */
     uint64_t epoch, config, weights;
     QROperator processes[PROCESSES];
     uint64_t policy_before[PROCESSES];
-    GBytes *messages[MESSAGES]; /* of no one in particular, told late */
+    GBytes *messages[MESSAGES_MAX]; /* for any process, delivered late */
     unsigned n_messages;
 } Model;
 
 static void model_write(Model *m, const char *key)
 {
-    Written w = {key, key == (const char *)CONFIG ? m->config : m->weights};
+    WrittenRecord w = {key,
+                       key == (const char *)CONFIG ? m->config : m->weights};
 
     if (w.version > 0)
         g_array_append_val(m->log, w);
@@ -194,23 +200,25 @@
 
     for (unsigned k = 0; k < G_N_ELEMENTS(keys); k++) {
         for (unsigned i = m->log->len; i > 0; i--) {
-            const Written *w = &g_array_index(m->log, Written, i - 1);
+            const WrittenRecord *w =
+                &g_array_index(m->log, WrittenRecord, i - 1);
 
             if (strcmp(w->key, keys[k]) != 0)
                 continue;
-            take(o, w->key, w->version, (QRPosition){m->epoch, i - 1});
+            apply_record(o, w->key, w->version, (QRPosition){m->epoch, i - 1});
             break;
         }
     }
 }
 
-static void keep(void *to, const Qr__Fleet__Frame *frame)
+static void store_message(void *to, const Qr__Fleet__Frame *frame)
 {
     Model *m = to;
     gsize len = qr__fleet__frame__get_packed_size(frame);
     uint8_t *data = g_malloc(len);
-    unsigned at = m->n_messages < MESSAGES ? m->n_messages++
-                                           : (unsigned)rand() % MESSAGES;
+    unsigned at = m->n_messages < MESSAGES_MAX
+                      ? m->n_messages++
+                      : (unsigned)rand() % MESSAGES_MAX;
 
     qr__fleet__frame__pack(frame, data);
     g_clear_pointer(&m->messages[at], g_bytes_unref);
@@ -228,7 +236,7 @@
     data =
         g_bytes_get_data(m->messages[(unsigned)rand() % m->n_messages], &len);
     frame = qr__fleet__frame__unpack(NULL, len, data);
-    hear(o, frame);
+    apply_frame(o, frame);
     qr__fleet__frame__free_unpacked(frame, NULL);
 }
 
@@ -251,12 +259,12 @@
                                      (unsigned)rand() % (m->log->len + 1) / 2);
         m->epoch++;
         break;
-    case 3: /* written again, in any order */
+    case 3: /* rewritten, in any order */
         model_write(m, rand() % 2 ? CONFIG : WEIGHTS);
         break;
-    case 4: /* killed, and started */
+    case 4: /* killed and started */
         qr_operator_clear(o);
-        start(o);
+        init_operator(o);
         m->policy_before[p] = 0;
         break;
     case 5:
@@ -267,7 +275,8 @@
     case 8:
     case 9:
         known = qr_operator_known_versions(&m->processes[rand() % PROCESSES]);
-        qr_operator_send_missing(o, &known, QR_FOR_GATEWAYS, 1000, keep, m);
+        qr_operator_send_missing(o, &known, QR_FOR_GATEWAYS, 1000,
+                                 store_message, m);
         break;
     default:
         model_deliver(m, o);
@@ -279,9 +288,9 @@
 {
     srand(seed);
     *m = (Model){.epoch = 1};
-    m->log = g_array_new(FALSE, FALSE, sizeof(Written));
+    m->log = g_array_new(FALSE, FALSE, sizeof(WrittenRecord));
     for (unsigned p = 0; p < PROCESSES; p++)
-        start(&m->processes[p]);
+        init_operator(&m->processes[p]);
 }
 
 static void model_clear(Model *m)
@@ -293,9 +302,9 @@
     g_array_unref(m->log);
 }
 
-/* Whatever comes, and in whatever order: no process goes back, and all end with
-   what was written last. */
-START_TEST(operator_by_a_model_of_the_store)
+/* Random writes, restores, restarts and late messages: no process returns to an
+   older policy, and all processes end with the records written last. */
+START_TEST(operator_converges_after_random_restores)
 {
     Model m;
 
@@ -304,8 +313,8 @@
         unsigned p = (unsigned)rand() % PROCESSES;
 
         model_step(&m, p);
-        ck_assert_uint_ge(policy_of(&m.processes[p]), m.policy_before[p]);
-        m.policy_before[p] = policy_of(&m.processes[p]);
+        ck_assert_uint_ge(policy_version(&m.processes[p]), m.policy_before[p]);
+        m.policy_before[p] = policy_version(&m.processes[p]);
     }
     model_write(&m, CONFIG);
     model_write(&m, WEIGHTS);
@@ -325,11 +334,11 @@
 {
     TCase *t = tcase_create("epochs");
 
-    tcase_add_test(t, positions_go_by_the_epoch_first);
+    tcase_add_test(t, positions_compare_epoch_before_offset);
     tcase_add_loop_test(t, epochs_are_decoded, 0, (int)G_N_ELEMENTS(epochs));
-    tcase_add_test(t, operator_takes_what_is_written_after);
-    tcase_add_test(t, operator_tells_what_the_store_has_lost);
-    tcase_add_test(t, operator_versions_written_again_are_no_younger);
-    tcase_add_loop_test(t, operator_by_a_model_of_the_store, 0, SEEDS);
+    tcase_add_test(t, operator_applies_records_written_after_restore);
+    tcase_add_test(t, operator_sends_records_that_the_store_lost);
+    tcase_add_test(t, operator_rewritten_version_keeps_its_time);
+    tcase_add_loop_test(t, operator_converges_after_random_restores, 0, SEEDS);
     return t;
 }
--- a/tests/unit_epochs.h
+++ b/tests/unit_epochs.h
@@ -1,4 +1,5 @@
-/* Records of a store that comes back without its last ones. */
+/* Unit tests of records after the store was restored without its latest ones.
+ */
 #ifndef UNIT_EPOCHS_H
 #define UNIT_EPOCHS_H
 
--- a/tests/unit_fleet.c
+++ b/tests/unit_fleet.c
@@ -35,7 +35,8 @@
     return f;
 }
 
-START_TEST(attempt_unsafe)
+/* Guards against running a call again that may run only once. */
+START_TEST(attempt_of_unsafe_route)
 {
     QRAttemptFacts f = facts(false, 1, 2);
 
@@ -45,13 +46,13 @@
     ck_assert_int_eq(qr_attempt_next(&f, QR_ATTEMPT_NOT_RUN), QR_STEP_AGAIN);
     f.engine_left = false;
     ck_assert_int_eq(qr_attempt_next(&f, QR_ATTEMPT_NOT_RUN), QR_STEP_REFUSE);
-    /* refused now, but an earlier sending may have run: no promise */
+    /* refused now, but an earlier sending may have run */
     f = facts(false, 1, 2);
     ck_assert_int_eq(qr_attempt_next(&f, QR_ATTEMPT_NOT_RUN), QR_STEP_FAIL);
 }
 END_TEST
 
-START_TEST(attempt_repeatable)
+START_TEST(attempt_of_repeatable_route)
 {
     QRAttemptFacts f = facts(true, 1, 2);
 
@@ -68,7 +69,7 @@
 }
 END_TEST
 
-START_TEST(attempt_rest_of_a_stream)
+START_TEST(attempt_resumes_started_stream)
 {
     QRAttemptFacts f = facts(true, 1, 2);
 
@@ -86,7 +87,7 @@
 }
 END_TEST
 
-START_TEST(sse_out_of_order_moves_nothing)
+START_TEST(sse_out_of_order_event_keeps_last_id)
 {
     QRSse s;
     g_autoptr(GString) out = g_string_new(NULL);
@@ -106,7 +107,7 @@
 }
 END_TEST
 
-START_TEST(ticks_stood_still)
+START_TEST(ticks_measure_suspension)
 {
     QRTicks t = {0};
 
@@ -117,7 +118,7 @@
 }
 END_TEST
 
-START_TEST(budget_slides)
+START_TEST(budget_window_slides)
 {
     QRBudget b;
     unsigned taken = 0;
@@ -127,12 +128,12 @@
         qr_budget_call(&b, 1000);
     for (unsigned i = 0; i < 100; i++)
         taken += qr_budget_retry(&b, 5, 1000 + i);
-    /* half of the ratio, and the part */
+    /* 10, half of the ratio of 100 calls, plus the allowance of 5 */
     ck_assert_uint_eq(taken, 15);
     ck_assert(!qr_budget_retry(&b, 5, 9000));
     /* up to the end of the window */
     ck_assert(!qr_budget_retry(&b, 5, 1000 + 10000 - 1));
-    /* a window later both calls and retries have slid out */
+    /* one window later, calls and retries have expired */
     ck_assert(qr_budget_retry(&b, 5, 20000));
 }
 END_TEST
@@ -147,7 +148,7 @@
     return g_string_free(out, FALSE);
 }
 
-START_TEST(sse_whole_events_only)
+START_TEST(sse_passes_complete_events_only)
 {
     static const char text[] =
         "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3";
@@ -167,7 +168,7 @@
 }
 END_TEST
 
-START_TEST(sse_order)
+START_TEST(sse_detects_gaps_in_ids)
 {
     static const struct {
         const char *last, *text;
@@ -234,9 +235,9 @@
 }
 END_TEST
 
-/* Bench, third site: its pages spell the rate with "-", so that nothing was
-   forecast there, and nothing said so. */
-START_TEST(policy_engine_costs_in_either_spelling)
+/* Some platforms spell the rate "read-per-s". Guards against ignoring this
+   spelling, which disabled forecasts without a finding. */
+START_TEST(policy_reads_engine_costs_in_both_spellings)
 {
     static const struct {
         const char *name;
@@ -264,7 +265,8 @@
 }
 END_TEST
 
-/* A kind that is not counted would be counted behind the end of the table. */
+/* Guards against a frame kind without a counter, which would write past the end
+   of the table. */
 START_TEST(traffic_counts_every_kind)
 {
     ck_assert_uint_eq(qr__fleet__frame__descriptor.n_fields,
@@ -318,7 +320,8 @@
     g_hash_table_unref(b->in.regions);
 }
 
-START_TEST(balance_spares_readers)
+/* Guards against choosing engines that are slowed down by reading prompts. */
+START_TEST(balance_avoids_engines_that_read_prompts)
 {
     Balance b;
     QREngine *x, *y;
@@ -328,10 +331,10 @@
     y = add_engine(&b.engines, "y", "z2", 1);
     ck_assert_ptr_eq(qr_balance_choose(&b.engines, &b.in).engine, x);
     x->own = 1;
-    x->reading = 1000; /* 100 ms: the farther one is sooner */
+    x->reading = 1000; /* 100 ms: the engine in the other zone is faster */
     ck_assert_ptr_eq(qr_balance_choose(&b.engines, &b.in).engine, y);
     y->own = 1;
-    y->reading = 5000; /* others there would see a pause of 500 ms */
+    y->reading = 5000; /* other streams there would pause for 500 ms */
     x->reading = 5000;
     ck_assert_ptr_null(qr_balance_choose(&b.engines, &b.in).engine);
     ck_assert_uint_eq(qr_balance_choose(&b.engines, &b.in).usable, 2);
@@ -339,25 +342,25 @@
 }
 END_TEST
 
-/* Bench: calls waited 160 ms in line at engines whose places were all taken,
-   and those who had been refused before took the places of new ones. */
-START_TEST(balance_late_calls_get_what_is_to_spare)
+/* Guards against two faults: calls were sent to engines with no free slot and
+   queued there for 160 ms, and repeated calls took the slots of new ones. */
+START_TEST(balance_gives_late_calls_only_spare_slots)
 {
     Balance b;
     QREngine *x;
 
     balance_init(&b);
     x = add_engine(&b.engines, "x", "z1", 1);
-    x->own = 4; /* of 4 */
+    x->own = 4; /* of 4 slots */
     ck_assert_ptr_null(qr_balance_choose(&b.engines, &b.in).engine);
     x->own = 3;
     ck_assert_ptr_eq(qr_balance_choose(&b.engines, &b.in).engine, x);
-    x->reading = 2400; /* 240 ms and a pass: in time, with nothing to spare */
+    x->reading = 2400; /* 240 ms and one pass: in time, without reserve */
     ck_assert_ptr_eq(qr_balance_choose(&b.engines, &b.in).engine, x);
     b.in.late = true;
     ck_assert_ptr_null(qr_balance_choose(&b.engines, &b.in).engine);
     x->reading = 0;
-    b.in.waited_ms = 3000; /* is no hindrance any more */
+    b.in.waited_ms = 3000; /* a long wait lifts the restriction */
     ck_assert_ptr_eq(qr_balance_choose(&b.engines, &b.in).engine, x);
     b.in.late = false;
     ck_assert_ptr_null(qr_balance_choose(&b.engines, &b.in).engine);
@@ -372,33 +375,34 @@
         qr_deadlines_note(d, from_ms + (to_ms - from_ms) * i / (count - 1));
 }
 
-START_TEST(deadlines_tell_who_came_back)
+START_TEST(deadlines_detect_repeated_calls)
 {
     QRDeadlines d = {0};
 
     qr_deadlines_note(&d, 6000);
-    ck_assert_uint_eq(qr_deadlines_waited(&d, 3000), 0); /* too few to say */
+    ck_assert_uint_eq(qr_deadlines_waited(&d, 3000), 0); /* too few samples */
     note_many(&d, 5970, 6000, 500);
-    note_many(&d, 4000, 5400, 300); /* those that came back */
+    note_many(&d, 4000, 5400, 300); /* repeated calls */
     ck_assert_uint_eq(qr_deadlines_waited(&d, 6000), 0);
     ck_assert_uint_eq(qr_deadlines_waited(&d, 5970), 30);
     ck_assert_uint_eq(qr_deadlines_waited(&d, 4500), 1500);
-    /* callers of another kind begin with less time: they have not waited */
+    /* callers with a shorter deadline have not waited */
     note_many(&d, 1990, 2000, 400);
     ck_assert_uint_eq(qr_deadlines_waited(&d, 1995), 5);
     ck_assert_uint_eq(qr_deadlines_waited(&d, 1500), 500);
-    /* one with all the time of the world makes nobody late */
+    /* one call with a very long deadline makes no other call late */
     qr_deadlines_note(&d, 3600000);
     ck_assert_uint_eq(qr_deadlines_waited(&d, 6000), 0);
-    /* what was usual long ago is so no more */
+    /* old samples expire */
     note_many(&d, 990, 1000, 8000);
     ck_assert_uint_eq(qr_deadlines_waited(&d, 1995), 0);
 }
 END_TEST
 
-/* Bench, third site grown: 39 gateways sent all calls of a heartbeat to the one
-   engine that had just come up, where first bytes took a second. */
-START_TEST(balance_does_not_send_all_to_the_one_that_seems_best)
+/* Guards against an overload of the engine that seems best: within a heartbeat,
+   39 gateways sent all calls to one engine that had just started, where first
+   bytes then took a second. */
+START_TEST(balance_does_not_overload_least_loaded_engine)
 {
     unsigned counts[8] = {0}, least = G_MAXUINT, most = 0;
     Balance b;
@@ -407,7 +411,7 @@
     for (unsigned i = 0; i < 8; i++) {
         char id[2] = {(char)('a' + i), '\0'};
 
-        /* all have one call, but for the last */
+        /* every engine but the last has one call */
         add_engine(&b.engines, id, "z1", 1)->own = i < 7;
     }
     for (uint64_t i = 0; i < 800; i++) {
@@ -421,14 +425,15 @@
         least = MIN(least, counts[i]);
         most = MAX(most, counts[i]);
     }
-    /* it is among two of eight drawn once in four, and then taken */
+    /* two of eight engines are drawn; the last is among them in one of four
+       draws and is then chosen */
     ck_assert(counts[7] > 120 && counts[7] < 320);
     ck_assert(least > 40 && most < 160);
     balance_clear(&b);
 }
 END_TEST
 
-START_TEST(balance_leaves_out)
+START_TEST(balance_skips_unusable_engines)
 {
     Balance b;
     QREngine *x, *y;
@@ -443,7 +448,7 @@
     ck_assert_ptr_null(qr_balance_choose(&b.engines, &b.in).engine);
     b.in.version_least = 0;
     ck_assert_ptr_eq(qr_balance_choose(&b.engines, &b.in).engine, x);
-    /* a call has waited 600 ms there for its first byte */
+    /* a call at x has waited 600 ms for its first byte */
     x->own = 1;
     qr_engine_sent(x, sent);
     ck_assert_ptr_null(qr_balance_choose(&b.engines, &b.in).engine);
@@ -460,9 +465,10 @@
 }
 END_TEST
 
-/* Bench: VERSION, calls lay behind pieces in the queue of a squeezed link; the
- * sidecar's word that the link is slow lay there as well. */
-START_TEST(balance_leaves_out_who_is_not_heard_before_a_bound)
+/* Guards against violations of a version's bound: on a slow link, calls queued
+ * behind pieces of weights, and so did the sidecar's report of the slow link.
+ */
+START_TEST(balance_skips_silent_engines_before_version_bound)
 {
     Balance b;
     QREngine *x;
@@ -476,19 +482,20 @@
     ck_assert_ptr_eq(qr_balance_choose(&b.engines, &b.in).engine, x);
     b.in.version_soon = 2;
     ck_assert_ptr_null(qr_balance_choose(&b.engines, &b.in).engine);
-    x->told_ms = 9000; /* heard: it may serve until shortly before */
+    x->told_ms =
+        9000; /* heard recently: usable until shortly before the bound */
     ck_assert_ptr_eq(qr_balance_choose(&b.engines, &b.in).engine, x);
     x->told = false; /* never heard */
     ck_assert_ptr_null(qr_balance_choose(&b.engines, &b.in).engine);
-    x->record->version = 2; /* its own record says that it has it */
+    x->record->version = 2; /* its own record names version 2 */
     ck_assert_ptr_eq(qr_balance_choose(&b.engines, &b.in).engine, x);
     balance_clear(&b);
 }
 END_TEST
 
-/* Bench: BUDGET after a loss of all power; each gateway tried each engine of
- * the store's old records, and was told 421. */
-START_TEST(engine_that_is_not_the_one_is_left_alone_longer)
+/* Guards against an exceeded retry budget after a total power loss: each
+ * gateway tried every engine of the store's old records and got status 421. */
+START_TEST(engine_pause_grows_with_misdirected_answers)
 {
     Balance b;
     QREngine *x;
@@ -498,7 +505,7 @@
     x = add_engine(&b.engines, "x", "z1", 1);
     x->unconfirmed = true; /* from the first listing */
     ck_assert_ptr_null(qr_balance_choose(&b.engines, &b.in).engine);
-    add_engine(&b.engines, "x", "z1", 1); /* its record was written again */
+    add_engine(&b.engines, "x", "z1", 1); /* its record is written again */
     ck_assert_ptr_eq(qr_balance_choose(&b.engines, &b.in).engine, x);
     for (unsigned i = 0; i < 4; i++) {
         qr_engine_outcome(x, QR_OUTCOME_MOVED, 0, b.in.now_ms);
@@ -514,7 +521,7 @@
 }
 END_TEST
 
-START_TEST(engine_ejected_and_tried_again)
+START_TEST(engine_ejected_and_retried)
 {
     Balance b;
     QREngine *x;
@@ -528,7 +535,7 @@
     ck_assert_ptr_null(qr_balance_choose(&b.engines, &b.in).engine);
     b.in.now_ms = x->ejected_until_ms;
     ck_assert_ptr_eq(qr_balance_choose(&b.engines, &b.in).engine, x);
-    x->trial = true; /* one call is out: no second one */
+    x->trial = true; /* one trial call is open: no second one */
     ck_assert_ptr_null(qr_balance_choose(&b.engines, &b.in).engine);
     ck_assert(qr_engine_outcome(x, QR_OUTCOME_FAILURE, 0, b.in.now_ms));
     ck_assert_uint_gt(x->ejected_until_ms, b.in.now_ms + 1500);
@@ -536,8 +543,9 @@
 }
 END_TEST
 
-/* The record of another run of the engine under its id. */
-static const char *start_anew(QREngines *t, const char *id, uint64_t born_ms)
+/* Adds the record of a new process of the engine under the same id. */
+static const char *restart_engine(QREngines *t, const char *id,
+                                  uint64_t born_ms)
 {
     const QREngineRecord *old = qr_engines_get(t, id)->record;
     QREngineRecord *r = g_new0(QREngineRecord, 1);
@@ -551,7 +559,9 @@
     return qr_engines_record(t, r, 100);
 }
 
-START_TEST(engine_that_starts_anew_is_new)
+/* Guards against ejecting a restarted engine for failures before its restart.
+ */
+START_TEST(restarted_engine_loses_old_state)
 {
     QREngines t;
     QREngine *e;
@@ -559,8 +569,8 @@
 
     qr_engines_init(&t);
     e = add_engine(&t, "a", "z", 1);
-    ck_assert_str_eq(start_anew(&t, "a", 5000), QR_CHANGE_STARTED);
-    ck_assert_ptr_null(start_anew(&t, "a", 5000));
+    ck_assert_str_eq(restart_engine(&t, "a", 5000), QR_CHANGE_STARTED);
+    ck_assert_ptr_null(restart_engine(&t, "a", 5000));
     e->told = true;
     e->told_version = 4;
     e->own = 1;
@@ -568,16 +578,16 @@
     for (unsigned i = 0; i < 6; i++)
         qr_engine_outcome(e, QR_OUTCOME_FAILURE, 0, 50);
     ck_assert_uint_gt(e->ejected_until_ms, 100);
-    ck_assert_str_eq(start_anew(&t, "a", 6000), QR_CHANGE_STARTED);
+    ck_assert_str_eq(restart_engine(&t, "a", 6000), QR_CHANGE_STARTED);
     ck_assert_uint_eq(e->ejected_until_ms, 0);
     ck_assert_uint_eq(qr_engine_version(e), 0);
-    /* ours are under way until they end */
+    /* own calls stay open until they end */
     ck_assert_uint_eq(qr_engine_open(e), 1);
     qr_engines_clear(&t);
 }
 END_TEST
 
-START_TEST(engine_others_calls_count)
+START_TEST(engine_counts_calls_of_other_gateways)
 {
     QREngines t;
     QRToldLoad load = {3, 300, 1000};
@@ -592,7 +602,7 @@
     ck_assert(qr_engine_reading(x, 10, 2000) == 0);
     qr_engines_forget_gateway(&t, "g1");
     ck_assert_uint_eq(qr_engine_open(x), 1);
-    /* gone while a call of ours is open there: kept until that is over */
+    /* a removed engine is kept until the last own call ends */
     qr_engines_drop(&t, "x", 1000);
     qr_engines_sweep(&t, 1000);
     ck_assert_ptr_nonnull(qr_engines_get(&t, "x"));
@@ -603,13 +613,13 @@
 }
 END_TEST
 
-static unsigned news_count;
+static unsigned new_record_count;
 
-static void count_news(void *owner, const QRStoreRecord *r)
+static void count_new_record(void *owner, const QRStoreRecord *r)
 {
     (void)owner;
     (void)r;
-    news_count++;
+    new_record_count++;
 }
 
 static void name_version(QROperator *o, uint64_t version, uint64_t offset,
@@ -624,38 +634,41 @@
     g_bytes_unref(r.value);
 }
 
-START_TEST(operator_versions_keep_their_bounds)
+/* Guards against a later version extending the bound of an earlier one. */
+START_TEST(operator_versions_have_separate_bounds)
 {
     QROperator o = {0};
 
-    qr_operator_init(&o, qr_platform_find("log-store"), count_news, NULL);
-    news_count = 0;
+    qr_operator_init(&o, qr_platform_find("log-store"), count_new_record, NULL);
+    new_record_count = 0;
     name_version(&o, 2, 1, 0, 10000);
     name_version(&o, 3, 2, 0, 14000);
     ck_assert_uint_eq(qr_operator_newest_version(&o, "m")->version, 3);
     ck_assert_uint_eq(qr_operator_overdue_version(&o, "m", 8000, 17999), 0);
     ck_assert_uint_eq(qr_operator_overdue_version(&o, "m", 8000, 18000), 2);
     ck_assert_uint_eq(qr_operator_overdue_version(&o, "m", 8000, 22000), 3);
-    /* an older version changes nothing, wherever it stands */
+    /* an older version changes nothing, whatever its offset */
     name_version(&o, 2, 9, 0, 15000);
     name_version(&o, 1, 3, 0, 15000);
     ck_assert_uint_eq(qr_operator_newest_version(&o, "m")->version, 3);
-    ck_assert_uint_eq(news_count, 2);
+    ck_assert_uint_eq(new_record_count, 2);
     qr_operator_clear(&o);
-    /* known since before the process began: in force at once */
-    qr_operator_init(&o, qr_platform_find("log-store"), count_news, NULL);
+    /* written before the process started: in force at once */
+    qr_operator_init(&o, qr_platform_find("log-store"), count_new_record, NULL);
     name_version(&o, 2, 1, QR_AGE_UNKNOWN_MS, 100);
     ck_assert_uint_eq(qr_operator_overdue_version(&o, "m", 8000, 100), 2);
     qr_operator_clear(&o);
 }
 END_TEST
 
-START_TEST(operator_takes_the_least_age)
+/* Processes report upper bounds of a record's age. Guards against a greater one
+   replacing a smaller one, which would end a version's bound too early. */
+START_TEST(operator_keeps_least_reported_age)
 {
     QROperator o = {0};
 
-    qr_operator_init(&o, qr_platform_find("log-store"), count_news, NULL);
-    news_count = 0;
+    qr_operator_init(&o, qr_platform_find("log-store"), count_new_record, NULL);
+    new_record_count = 0;
     name_version(&o, 2, 7, QR_AGE_UNKNOWN_MS, 10000);
     ck_assert_uint_eq(qr_operator_overdue_version(&o, "m", 8000, 10000), 2);
     ck_assert_uint_eq(qr_operator_first_undated_offset(&o, 10000), 7);
@@ -663,48 +676,51 @@
     ck_assert_uint_eq(qr_operator_overdue_version(&o, "m", 8000, 10000), 0);
     ck_assert_uint_eq(qr_operator_overdue_version(&o, "m", 8000, 17000), 2);
     ck_assert_uint_eq(qr_operator_first_undated_offset(&o, 10000), UINT64_MAX);
-    /* a greater age is no news, and the record is none either way */
+    /* a greater age changes nothing, and the record is not new either way */
     name_version(&o, 2, 7, 5000, 10000);
     ck_assert_uint_eq(qr_operator_overdue_version(&o, "m", 8000, 16999), 0);
-    ck_assert_uint_eq(news_count, 1);
+    ck_assert_uint_eq(new_record_count, 1);
     qr_operator_clear(&o);
 }
 END_TEST
 
-static unsigned told_count;
+static unsigned sent_count;
 
-static void count_told(void *to, const Qr__Fleet__Frame *frame)
+static void deliver_frame(void *to, const Qr__Fleet__Frame *frame)
 {
     QROperator *other = to;
 
-    told_count++;
+    sent_count++;
     qr_operator_apply_records(other, frame->records, 5000);
 }
 
-START_TEST(operator_records_go_from_peer_to_peer)
+START_TEST(operator_sends_records_to_peers)
 {
     QROperator a = {0}, b = {0};
     QRKnownVersions known;
 
-    qr_operator_init(&a, qr_platform_find("log-store"), count_news, NULL);
-    qr_operator_init(&b, qr_platform_find("log-store"), count_news, NULL);
+    qr_operator_init(&a, qr_platform_find("log-store"), count_new_record, NULL);
+    qr_operator_init(&b, qr_platform_find("log-store"), count_new_record, NULL);
     name_version(&a, 2, 7, 0, 4000);
-    told_count = news_count = 0;
+    sent_count = new_record_count = 0;
     known = qr_operator_known_versions(&b);
-    qr_operator_send_missing(&a, &known, QR_FOR_GATEWAYS, 5000, count_told, &b);
-    ck_assert_uint_eq(told_count, 1);
-    ck_assert_uint_eq(news_count, 1); /* heard from a peer: news as well */
+    qr_operator_send_missing(&a, &known, QR_FOR_GATEWAYS, 5000, deliver_frame,
+                             &b);
+    ck_assert_uint_eq(sent_count, 1);
+    ck_assert_uint_eq(new_record_count,
+                      1); /* a record from a peer is new as well */
     ck_assert_int_eq(qr_position_cmp(b.end, a.end), 0);
     ck_assert_uint_eq(qr_operator_overdue_version(&b, "m", 1000, 5000), 2);
     known = qr_operator_known_versions(&b);
-    qr_operator_send_missing(&a, &known, QR_FOR_GATEWAYS, 5000, count_told, &b);
-    ck_assert_uint_eq(told_count, 1);
+    qr_operator_send_missing(&a, &known, QR_FOR_GATEWAYS, 5000, deliver_frame,
+                             &b);
+    ck_assert_uint_eq(sent_count, 1);
     qr_operator_clear(&a);
     qr_operator_clear(&b);
 }
 END_TEST
 
-START_TEST(pack_gives_back_what_it_took)
+START_TEST(pack_round_trip_and_malformed_input)
 {
     g_autoptr(GString) text = g_string_new(NULL);
     g_autoptr(GBytes) plain = NULL;
@@ -723,7 +739,7 @@
     again = qr_unpack(data, len, text->len);
     ck_assert_ptr_nonnull(again);
     ck_assert(g_bytes_equal(plain, again));
-    /* what another process tells may be anything */
+    /* data from other processes may be malformed */
     ck_assert_ptr_null(qr_unpack(data, len, text->len - 1));
     ck_assert_ptr_null(qr_unpack(data, len, text->len + 1));
     ck_assert_ptr_null(qr_unpack(data, len / 2, text->len));
@@ -732,7 +748,8 @@
 }
 END_TEST
 
-START_TEST(operator_tells_each_audience_what_it_needs)
+/* Guards against sending sidecars the routes, which only gateways use. */
+START_TEST(operator_sends_sidecars_reduced_policy)
 {
     g_autoptr(GString) text = g_string_new(
         "{\"version\":4,\"services\":[{\"name\":\"s\"}],\"routes\":[");
@@ -748,17 +765,17 @@
                                i ? "," : "", i, i);
     g_string_append(text, "]}");
     r.value = g_bytes_new(text->str, text->len);
-    qr_operator_init(&a, qr_platform_find("log-store"), count_news, NULL);
-    qr_operator_init(&b, qr_platform_find("log-store"), count_news, NULL);
-    qr_operator_init(&c, qr_platform_find("log-store"), count_news, NULL);
+    qr_operator_init(&a, qr_platform_find("log-store"), count_new_record, NULL);
+    qr_operator_init(&b, qr_platform_find("log-store"), count_new_record, NULL);
+    qr_operator_init(&c, qr_platform_find("log-store"), count_new_record, NULL);
     qr_operator_apply(&a, &r, 0, 1000);
-    /* long enough to go compressed */
+    /* long enough to be compressed */
     ck_assert_uint_gt(text->len, QR_PACK_LEAST_BYTES);
-    qr_operator_send_missing(&a, &nothing, QR_FOR_GATEWAYS, 1000, count_told,
+    qr_operator_send_missing(&a, &nothing, QR_FOR_GATEWAYS, 1000, deliver_frame,
                              &b);
     ck_assert_uint_eq(b.policy->routes->len, 200);
     ck_assert_int_eq(qr_position_cmp(b.end, a.end), 0);
-    qr_operator_send_missing(&a, &nothing, QR_FOR_SIDECARS, 1000, count_told,
+    qr_operator_send_missing(&a, &nothing, QR_FOR_SIDECARS, 1000, deliver_frame,
                              &c);
     ck_assert_uint_eq(c.policy->routes->len, 0);
     ck_assert_uint_eq(c.policy->version, 4);
@@ -771,22 +788,22 @@
 }
 END_TEST
 
-START_TEST(pace_saves_what_it_is_told_to)
+START_TEST(pace_saves_up_to_its_limit)
 {
     QRPace p = {0, 1000};
 
-    qr_pace_refill(&p, 10, 0, 2000); /* a rest saves nothing */
+    qr_pace_refill(&p, 10, 0, 2000); /* idle time saves nothing */
     ck_assert(qr_pace_open(&p));
     qr_pace_sent(&p, 300);
     qr_pace_refill(&p, 10, 0, 2029);
     ck_assert(!qr_pace_open(&p));
-    /* paid back at 2030; what is left of the tick is lost ... */
+    /* balanced at 2030; the rest of the tick is lost ... */
     qr_pace_refill(&p, 10, 0, 2050);
     ck_assert(qr_pace_open(&p));
     qr_pace_sent(&p, 300);
     qr_pace_refill(&p, 10, 0, 2079);
     ck_assert(!qr_pace_open(&p));
-    /* ... or not: 20 ms of it pay for a part of the next piece */
+    /* ... or saved: 20 ms of it count towards the next piece */
     qr_pace_refill(&p, 10, 25, 2100);
     qr_pace_sent(&p, 300);
     qr_pace_refill(&p, 10, 25, 2110);
@@ -794,21 +811,21 @@
 }
 END_TEST
 
-/* Bench, scale-1 of the third site: after 5 s without the origin its roots were
-   given up, and 1.7 copies were drawn when it came back. */
-START_TEST(progress_tells_one_source_from_the_origin)
+/* Guards against giving up all roots during an outage of the origin: after 5 s
+   without the origin this happened, and 1.7 copies were fetched afterwards. */
+START_TEST(progress_tells_failed_source_from_origin_outage)
 {
     QRProgress p = {1000, 0};
 
-    /* pieces come, one does not */
+    /* pieces arrive from all sources but one */
     for (uint64_t now = 1100; now < 7000; now += 100)
         qr_progress_note(&p, now);
     ck_assert(!qr_progress_passed_by(&p, 2000, 5000, 6900));
     ck_assert(qr_progress_passed_by(&p, 1500, 5000, 6900));
-    /* none come: all wait */
+    /* no pieces arrive: all sources wait */
     ck_assert(!qr_progress_passed_by(&p, 1500, 5000, 7900));
     ck_assert(!qr_progress_passed_by(&p, 1500, 5000, 15000));
-    /* they come again: time counts from there */
+    /* pieces arrive again: time is counted from then */
     qr_progress_note(&p, 16000);
     ck_assert(!qr_progress_passed_by(&p, 1500, 5000, 16100));
     for (uint64_t now = 16100; now < 21200; now += 100)
@@ -817,29 +834,30 @@
 }
 END_TEST
 
-static bool no_head(QRMessage *m, void *owner)
+static bool ignore_head(QRMessage *m, void *owner)
 {
     (void)m;
     (void)owner;
     return false;
 }
 
-static void no_body(QRMessage *m, void *owner, const char *data, size_t len)
+static void count_body(QRMessage *m, void *owner, const char *data, size_t len)
 {
     (void)m;
     (void)data;
     *(size_t *)owner += len;
 }
 
-static void no_end(QRMessage *m, void *owner)
+static void ignore_end(QRMessage *m, void *owner)
 {
     (void)m;
     (void)owner;
 }
 
-START_TEST(message_torn_anywhere)
+START_TEST(message_split_at_any_byte)
 {
-    static const QRMessageHandlers handlers = {no_head, no_body, no_end};
+    static const QRMessageHandlers handlers = {ignore_head, count_body,
+                                               ignore_end};
     static const char text[] = "POST /a HTTP/1.1\r\nHost: h\r\nX-A:  b \r\n"
                                "Transfer-Encoding: chunked\r\n\r\n"
                                "3\r\nabc\r\n0\r\n\r\nGET /next";
@@ -861,9 +879,10 @@
 }
 END_TEST
 
-START_TEST(message_hostile)
+START_TEST(message_random_bytes)
 {
-    static const QRMessageHandlers handlers = {no_head, no_body, no_end};
+    static const QRMessageHandlers handlers = {ignore_head, count_body,
+                                               ignore_end};
     GRand *rand = g_rand_new_with_seed(7);
 
     for (unsigned round = 0; round < 20000; round++) {
@@ -878,7 +897,7 @@
         qr_message_init(&m, HTTP_REQUEST, &handlers, &body);
         m.body_max = 64;
         qr_message_read(&m, text, sizeof(text) - 1);
-        if (m.done) /* never more body than there is */
+        if (m.done) /* at most 'body_max' bytes */
             ck_assert_uint_le(body, 64);
         qr_message_clear(&m);
     }
@@ -886,7 +905,7 @@
 }
 END_TEST
 
-START_TEST(headers_of_one_connection)
+START_TEST(headers_hop_by_hop)
 {
     QRHeaders h;
 
@@ -928,37 +947,37 @@
     TCase *t = tcase_create("fleet");
 
     tcase_set_timeout(t, 300);
-    tcase_add_test(t, attempt_unsafe);
-    tcase_add_test(t, attempt_repeatable);
-    tcase_add_test(t, attempt_rest_of_a_stream);
-    tcase_add_test(t, sse_out_of_order_moves_nothing);
-    tcase_add_test(t, ticks_stood_still);
-    tcase_add_test(t, budget_slides);
-    tcase_add_test(t, sse_whole_events_only);
-    tcase_add_test(t, sse_order);
+    tcase_add_test(t, attempt_of_unsafe_route);
+    tcase_add_test(t, attempt_of_repeatable_route);
+    tcase_add_test(t, attempt_resumes_started_stream);
+    tcase_add_test(t, sse_out_of_order_event_keeps_last_id);
+    tcase_add_test(t, ticks_measure_suspension);
+    tcase_add_test(t, budget_window_slides);
+    tcase_add_test(t, sse_passes_complete_events_only);
+    tcase_add_test(t, sse_detects_gaps_in_ids);
     tcase_add_test(t, policy_routes);
-    tcase_add_test(t, policy_engine_costs_in_either_spelling);
+    tcase_add_test(t, policy_reads_engine_costs_in_both_spellings);
     tcase_add_test(t, traffic_counts_every_kind);
-    tcase_add_test(t, balance_spares_readers);
-    tcase_add_test(t, balance_late_calls_get_what_is_to_spare);
-    tcase_add_test(t, deadlines_tell_who_came_back);
-    tcase_add_test(t, balance_does_not_send_all_to_the_one_that_seems_best);
-    tcase_add_test(t, balance_leaves_out);
-    tcase_add_test(t, balance_leaves_out_who_is_not_heard_before_a_bound);
-    tcase_add_test(t, engine_ejected_and_tried_again);
-    tcase_add_test(t, engine_that_is_not_the_one_is_left_alone_longer);
-    tcase_add_test(t, engine_that_starts_anew_is_new);
-    tcase_add_test(t, engine_others_calls_count);
-    tcase_add_test(t, operator_versions_keep_their_bounds);
-    tcase_add_test(t, operator_takes_the_least_age);
-    tcase_add_test(t, operator_records_go_from_peer_to_peer);
-    tcase_add_test(t, operator_tells_each_audience_what_it_needs);
-    tcase_add_test(t, pack_gives_back_what_it_took);
-    tcase_add_test(t, pace_saves_what_it_is_told_to);
-    tcase_add_test(t, progress_tells_one_source_from_the_origin);
-    tcase_add_test(t, message_torn_anywhere);
-    tcase_add_test(t, message_hostile);
-    tcase_add_test(t, headers_of_one_connection);
+    tcase_add_test(t, balance_avoids_engines_that_read_prompts);
+    tcase_add_test(t, balance_gives_late_calls_only_spare_slots);
+    tcase_add_test(t, deadlines_detect_repeated_calls);
+    tcase_add_test(t, balance_does_not_overload_least_loaded_engine);
+    tcase_add_test(t, balance_skips_unusable_engines);
+    tcase_add_test(t, balance_skips_silent_engines_before_version_bound);
+    tcase_add_test(t, engine_ejected_and_retried);
+    tcase_add_test(t, engine_pause_grows_with_misdirected_answers);
+    tcase_add_test(t, restarted_engine_loses_old_state);
+    tcase_add_test(t, engine_counts_calls_of_other_gateways);
+    tcase_add_test(t, operator_versions_have_separate_bounds);
+    tcase_add_test(t, operator_keeps_least_reported_age);
+    tcase_add_test(t, operator_sends_records_to_peers);
+    tcase_add_test(t, operator_sends_sidecars_reduced_policy);
+    tcase_add_test(t, pack_round_trip_and_malformed_input);
+    tcase_add_test(t, pace_saves_up_to_its_limit);
+    tcase_add_test(t, progress_tells_failed_source_from_origin_outage);
+    tcase_add_test(t, message_split_at_any_byte);
+    tcase_add_test(t, message_random_bytes);
+    tcase_add_test(t, headers_hop_by_hop);
     tcase_add_test(t, fleet_settings);
     return t;
 }
