--- a/src/gateway/qr_gateway.h
+++ b/src/gateway/qr_gateway.h
@@ -86,7 +86,7 @@
                                          few do */
     uint64_t few_readers_since_ms; /* too few others read since then; 0: enough
                                       do */
-    QRKnowledge operator_sent;     /* versions in the last heartbeat */
+    QRKnownVersions operator_sent;     /* versions in the last heartbeat */
     uint64_t first_read_ms; /* no read of the store before: other gateways may
                                send the records by then */
     uint64_t operator_current_ms; /* when another gateway's reads last confirmed
@@ -161,7 +161,7 @@
 void qr_gateway_forward_operator_record(void *owner, const QRStoreRecord *r);
 /* Notes which of the operator's records another gateway knows. */
 void qr_gateway_note_peer_knowledge(QRGateway *g, QRFleetMember *member,
-                                    const QRKnowledge *known);
+                                    const QRKnownVersions *known);
 /* Asks a gateway that knows more of the operator's records, when due. */
 void qr_gateway_catch_up(QRGateway *g, uint64_t now_ms);
 /*
--- a/src/gateway/qr_gateway_catchup.c
+++ b/src/gateway/qr_gateway_catchup.c
@@ -33,13 +33,13 @@
 
 static bool knows_more(const QRGateway *g, const QRFleetMember *m)
 {
-    QRKnowledge own = qr_operator_knowledge(&g->operator);
+    QRKnownVersions own = qr_operator_known_versions(&g->operator);
 
-    return qr_knowledge_exceeds(&m->known, &own);
+    return qr_known_versions_exceed(&m->known, &own);
 }
 
 void qr_gateway_note_peer_knowledge(QRGateway *g, QRFleetMember *member,
-                                    const QRKnowledge *known)
+                                    const QRKnownVersions *known)
 {
     member->known = *known;
     if (knows_more(g, member) && g->operator_behind_since_ms == 0)
@@ -129,7 +129,7 @@
     return behind;
 }
 
-static void send_fetch(QRPeerConn *source, const QRKnowledge *known)
+static void send_fetch(QRPeerConn *source, const QRKnownVersions *known)
 {
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__Fetch fetch = QR__FLEET__FETCH__INIT;
@@ -145,7 +145,7 @@
 static void fetch_from(QRGateway *g, QRPeerConn *source, uint64_t now_ms)
 {
     const QRFleetMember *m = qr_peer_data(source);
-    QRKnowledge own = qr_operator_knowledge(&g->operator);
+    QRKnownVersions own = qr_operator_known_versions(&g->operator);
 
     g->operator_fetch_ms = now_ms;
     g->operator_fetches++;
@@ -192,14 +192,14 @@
 static QRPeerConn *choose_age_source(const QRGateway *g)
 {
     unsigned n = g->subscribers->len;
-    QRKnowledge own = qr_operator_knowledge(&g->operator);
+    QRKnownVersions own = qr_operator_known_versions(&g->operator);
 
     for (unsigned i = 0; i < n; i++) {
         QRPeerConn *peer = g->subscribers->pdata[(i + g->ages_requests) % n];
         const QRFleetMember *m = qr_peer_data(peer);
 
         if (m && strcmp(m->role, QR_ROLE_GATEWAY) == 0 &&
-            !qr_knowledge_exceeds(&own, &m->known))
+            !qr_known_versions_exceed(&own, &m->known))
             return peer;
     }
     return NULL;
@@ -214,9 +214,9 @@
 static void fetch_version_ages(QRGateway *g, uint64_t now_ms)
 {
     /* requests all versions, and a configuration only if a newer one exists */
-    QRKnowledge known = {
-        .policy = qr_operator_knowledge(&g->operator).policy,
-        .offset = qr_operator_unsure(&g->operator, now_ms),
+    QRKnownVersions known = {
+        .policy = qr_operator_known_versions(&g->operator).policy,
+        .offset = qr_operator_first_undated_offset(&g->operator, now_ms),
     };
     QRPeerConn *age_source;
 
@@ -259,12 +259,12 @@
         for (size_t k = 0; k < r->n_earlier; k++)
             r->earlier[k]->age_ms += transit_ms;
     }
-    qr_operator_heard(&g->operator, records, now);
+    qr_operator_apply_records(&g->operator, records, now);
     g->operator_fetch_ms = g->operator_behind_since_ms =
         0; /* a peer that knows more reports again */
     /* records that a peer sent are not read again from the store */
-    end = qr_position_told(records->epoch, records->end, g->store_epoch);
+    end = qr_position_from_peer(records->epoch, records->end, g->store_epoch);
     qr_gateway_note_epoch(g, end.epoch);
     if (qr_position_cmp(g->operator.end, end) >= 0)
-        qr_follower_skip(g->follow_operator, end);
+        qr_follower_skip_to(g->follow_operator, end);
 }
--- a/src/gateway/qr_gateway_changes.c
+++ b/src/gateway/qr_gateway_changes.c
@@ -311,7 +311,7 @@
        changes of the epoch that we name in heartbeats */
     QRPosition from = fetch->offset == 0 && fetch->epoch == 0
                           ? (QRPosition){0}
-                          : qr_position_told(fetch->epoch, fetch->offset,
+                          : qr_position_from_peer(fetch->epoch, fetch->offset,
                                              g->engines_changed.epoch);
     Qr__Fleet__Records records = QR__FLEET__RECORDS__INIT;
     Qr__Fleet__Records packed = QR__FLEET__RECORDS__INIT;
@@ -341,7 +341,7 @@
     g_autoptr(GBytes) value = g_bytes_new(told->value.data, told->value.len);
     QRStoreRecord r = {
         told->key, value,
-        qr_position_told(told->epoch, told->offset, g->store_epoch)};
+        qr_position_from_peer(told->epoch, told->offset, g->store_epoch)};
     QREngine *e = qr_engines_get(&g->engines, told->key);
 
     /* the record had gone before our own listing: no change that says so will
@@ -379,7 +379,7 @@
                                     const Qr__Fleet__Records *records)
 {
     QRPosition end =
-        qr_position_told(records->epoch, records->end, g->store_epoch);
+        qr_position_from_peer(records->epoch, records->end, g->store_epoch);
     Qr__Fleet__Records *unpacked = NULL;
     const Qr__Fleet__Records *rows = records;
 
--- a/src/gateway/qr_gateway_epoch.c
+++ b/src/gateway/qr_gateway_epoch.c
@@ -20,7 +20,7 @@
  */
 static void log_kept_state(const QRGateway *g, uint64_t epoch)
 {
-    QRKnowledge known = qr_operator_knowledge(&g->operator);
+    QRKnownVersions known = qr_operator_known_versions(&g->operator);
 
     qr_logf(QR_LEVEL_WARN, "store",
             "epoch=%" G_GUINT64_FORMAT " before=%" G_GUINT64_FORMAT
@@ -48,8 +48,8 @@
     g->store_epoch = epoch;
     g->epoch_settling_since_ms = now;
     g->epoch_fetch_due_ms = 0;
-    qr_follower_expect(g->follow_operator, epoch);
-    qr_follower_expect(g->follow_engines, epoch);
+    qr_follower_expect_epoch(g->follow_operator, epoch);
+    qr_follower_expect_epoch(g->follow_engines, epoch);
 }
 
 bool qr_gateway_epoch_is_settling(const QRGateway *g)
@@ -67,6 +67,6 @@
         return;
     g->store_rolled_back = false;
     if (!g->store_reads_paused)
-        qr_follower_restart(g->follow_engines);
+        qr_follower_relist(g->follow_engines);
     g->epoch_fetch_due_ms = now_ms + RELIST_MS;
 }
--- a/src/gateway/qr_gateway_heartbeat.c
+++ b/src/gateway/qr_gateway_heartbeat.c
@@ -20,7 +20,7 @@
 void qr_gateway_take_load(QRGateway *g, QRFleetMember *member,
                           const Qr__Fleet__Load *load)
 {
-    QRKnowledge known = {load->policy_version, load->weights_revision,
+    QRKnownVersions known = {load->policy_version, load->weights_revision,
                          load->control_offset};
 
     qr_gateway_note_peer_knowledge(g, member, &known);
@@ -136,7 +136,7 @@
     QRFrame frame = QR__FLEET__FRAME__INIT;
     g_autoptr(GPtrArray) all = pointers_to(rows->all);
     g_autoptr(GPtrArray) unreserved = pointers_to(rows->unreserved);
-    QRKnowledge known = qr_operator_knowledge(&g->operator);
+    QRKnownVersions known = qr_operator_known_versions(&g->operator);
 
     load->leaving = g->stopping_ms > 0;
     load->policy_version = known.policy;
--- a/src/gateway/qr_gateway_peers.c
+++ b/src/gateway/qr_gateway_peers.c
@@ -49,7 +49,7 @@
         QRPeerConn *peer = g->subscribers->pdata[i];
 
         if (is_sidecar(qr_peer_data(peer)))
-            qr_operator_tell_one(&g->operator, r->key, QR_FOR_SIDECARS,
+            qr_operator_send_record(&g->operator, r->key, QR_FOR_SIDECARS,
                                  qr_gateway_now(g), send_record, peer);
     }
 }
@@ -57,7 +57,7 @@
 static void fill_hello(void *owner, QRFrame *frame, Qr__Fleet__Hello *hello)
 {
     QRGateway *g = owner;
-    QRKnowledge known = qr_operator_knowledge(&g->operator);
+    QRKnownVersions known = qr_operator_known_versions(&g->operator);
 
     (void)frame;
     hello->name = g->set->host;
@@ -113,7 +113,7 @@
  * qr_gateway_discover.c and qr_gateway_catchup.c.
  */
 static void send_initial_state(QRGateway *g, QRPeerConn *peer,
-                               const QRKnowledge *known)
+                               const QRKnownVersions *known)
 {
     GHashTableIter it;
     void *value;
@@ -127,7 +127,7 @@
         send_member(peer, value, false);
         send_held_version(peer, value);
     }
-    qr_operator_tell(&g->operator, known, QR_FOR_SIDECARS, qr_gateway_now(g),
+    qr_operator_send_missing(&g->operator, known, QR_FOR_SIDECARS, qr_gateway_now(g),
                      send_record, peer);
 }
 
@@ -186,7 +186,7 @@
 static void take_hello(QRGateway *g, QRPeerConn *peer,
                        const Qr__Fleet__Hello *h)
 {
-    QRKnowledge knows = {h->policy_version, h->weights_revision,
+    QRKnownVersions knows = {h->policy_version, h->weights_revision,
                          h->control_offset};
     const QRFleetMember *known = qr_members_get(&g->members, h->name);
     bool is_restarted = known && known->incarnation != h->incarnation;
@@ -336,10 +336,10 @@
 static void send_missing_records(QRGateway *g, QRPeerConn *peer,
                                  const Qr__Fleet__Fetch *fetch)
 {
-    QRKnowledge known = {fetch->policy_version, fetch->weights_revision,
+    QRKnownVersions known = {fetch->policy_version, fetch->weights_revision,
                          fetch->offset};
 
-    qr_operator_tell(&g->operator, & known, QR_FOR_GATEWAYS, qr_gateway_now(g),
+    qr_operator_send_missing(&g->operator, & known, QR_FOR_GATEWAYS, qr_gateway_now(g),
                      send_record, peer);
 }
 
--- a/src/gateway/qr_gateway_store.c
+++ b/src/gateway/qr_gateway_store.c
@@ -26,12 +26,12 @@
 static RecordAge record_age(const QRGateway *g)
 {
     uint64_t now = qr_gateway_now(g);
-    uint64_t gap = qr_follower_gap_ms(g->follow_operator);
+    uint64_t gap = qr_follower_max_record_age_ms(g->follow_operator);
     uint64_t current = qr_gateway_operator_current_ms(g);
     QROutage out = qr_follower_outage(g->follow_operator);
 
     if (qr_operator_is_empty(&g->operator) &&
-        qr_position_is_none(qr_follower_next(g->follow_operator)))
+        qr_position_is_none(qr_follower_next_position(g->follow_operator)))
         return (RecordAge){QR_AGE_UNKNOWN_MS, "start"};
     if (gap == 0)
         return (RecordAge){0, "long poll"};
@@ -59,7 +59,7 @@
                 now - qr_gateway_operator_current_ms(g),
                 out.first_ms ? now - out.first_ms : 0,
                 out.last_ms ? now - out.last_ms : 0);
-    qr_operator_take(&g->operator, r, age.ms, now);
+    qr_operator_apply(&g->operator, r, age.ms, now);
     if (age.ms == QR_AGE_UNKNOWN_MS) {
         g->ages_due_ms = MAX(now, 1);
         g->ages_requests = 0;
@@ -76,7 +76,7 @@
     QRGateway *g = owner;
 
     (void)keys; /* the operator's records are never deleted */
-    qr_gateway_note_epoch(g, qr_follower_next(g->follow_operator).epoch);
+    qr_gateway_note_epoch(g, qr_follower_next_position(g->follow_operator).epoch);
 }
 
 static void operator_reached(void *owner, bool reached, const char *why)
@@ -266,7 +266,7 @@
 static void engines_listed(void *owner, GHashTable *keys)
 {
     QRGateway *g = owner;
-    QRPosition next = qr_follower_next(g->follow_engines);
+    QRPosition next = qr_follower_next_position(g->follow_engines);
     g_autoptr(GPtrArray) gone = qr_engines_missing(&g->engines, keys);
 
     qr_gateway_note_epoch(g, next.epoch);
@@ -289,7 +289,7 @@
 {
     uint64_t due = g->store_back_ms + LAPSE_MS;
 
-    if (g->store_reads_paused || !qr_follower_reached(g->follow_engines) ||
+    if (g->store_reads_paused || !qr_follower_is_reachable(g->follow_engines) ||
         qr_follower_answered_ms(g->follow_engines) >= due)
         return true;
     qr_follower_pause(g->follow_engines, false);
@@ -338,7 +338,7 @@
 
     bound -= MIN(bound, margin_ms);
     return service
-               ? qr_operator_version_due(&g->operator, service->engine.model,
+               ? qr_operator_overdue_version(&g->operator, service->engine.model,
                                          bound,
                                          qr_gateway_bound_clock_ms(g, now_ms))
                : 0;
--- a/src/gateway/qr_requests_store.c
+++ b/src/gateway/qr_requests_store.c
@@ -72,7 +72,7 @@
     uint64_t now = qr_gateway_now(g);
     char text[QR_FINGERPRINT_HEX];
     bool stored = a->status == 200;
-    uint64_t rest = qr_platform_rest(g->platform, a->status, a->headers);
+    uint64_t rest = qr_platform_retry_delay_ms(g->platform, a->status, a->headers);
 
     (void)ref;
     q->write = NULL;
@@ -177,7 +177,7 @@
     if (due && !q->write && now_ms >= q->next_write_ms)
         write_record(g, due);
     if (should_poll != q->is_polling &&
-        qr_follower_next(q->follower).offset > 0) {
+        qr_follower_next_position(q->follower).offset > 0) {
         q->is_polling = should_poll;
         qr_follower_pause(q->follower, !should_poll);
     }
