--- a/src/gateway/qr_balance.c
+++ b/src/gateway/qr_balance.c
@@ -133,7 +133,8 @@
 
 static double pass_ms_of(const QREngineModel *m, unsigned open)
 {
-    return MAX(m->admission_interval_steps, 1u) * (m->step_ms + m->per_sequence_ms * open);
+    return MAX(m->admission_interval_steps, 1u) *
+           (m->step_ms + m->per_sequence_ms * open);
 }
 
 static Forecast forecast(const QREngine *e, const QRBalanceInput *in)
--- a/src/gateway/qr_gateway.h
+++ b/src/gateway/qr_gateway.h
@@ -86,7 +86,7 @@
                                          few do */
     uint64_t few_readers_since_ms; /* too few others read since then; 0: enough
                                       do */
-    QRKnownVersions operator_sent;     /* versions in the last heartbeat */
+    QRKnownVersions operator_sent; /* versions in the last heartbeat */
     uint64_t first_read_ms; /* no read of the store before: other gateways may
                                send the records by then */
     uint64_t operator_current_ms; /* when another gateway's reads last confirmed
--- a/src/gateway/qr_gateway_changes.c
+++ b/src/gateway/qr_gateway_changes.c
@@ -312,7 +312,7 @@
     QRPosition from = fetch->offset == 0 && fetch->epoch == 0
                           ? (QRPosition){0}
                           : qr_position_from_peer(fetch->epoch, fetch->offset,
-                                             g->engines_changed.epoch);
+                                                  g->engines_changed.epoch);
     Qr__Fleet__Records records = QR__FLEET__RECORDS__INIT;
     Qr__Fleet__Records packed = QR__FLEET__RECORDS__INIT;
     g_autoptr(GPtrArray) list = NULL;
--- a/src/gateway/qr_gateway_heartbeat.c
+++ b/src/gateway/qr_gateway_heartbeat.c
@@ -21,7 +21,7 @@
                           const Qr__Fleet__Load *load)
 {
     QRKnownVersions known = {load->policy_version, load->weights_revision,
-                         load->control_offset};
+                             load->control_offset};
 
     qr_gateway_note_peer_knowledge(g, member, &known);
     member->gateways = load->gateways;
--- a/src/gateway/qr_gateway_peers.c
+++ b/src/gateway/qr_gateway_peers.c
@@ -50,7 +50,7 @@
 
         if (is_sidecar(qr_peer_data(peer)))
             qr_operator_send_record(&g->operator, r->key, QR_FOR_SIDECARS,
-                                 qr_gateway_now(g), send_record, peer);
+                                    qr_gateway_now(g), send_record, peer);
     }
 }
 
@@ -127,8 +127,8 @@
         send_member(peer, value, false);
         send_held_version(peer, value);
     }
-    qr_operator_send_missing(&g->operator, known, QR_FOR_SIDECARS, qr_gateway_now(g),
-                     send_record, peer);
+    qr_operator_send_missing(&g->operator, known, QR_FOR_SIDECARS,
+                             qr_gateway_now(g), send_record, peer);
 }
 
 /* Last known state of the previous run of a restarted process. A killed process
@@ -187,7 +187,7 @@
                        const Qr__Fleet__Hello *h)
 {
     QRKnownVersions knows = {h->policy_version, h->weights_revision,
-                         h->control_offset};
+                             h->control_offset};
     const QRFleetMember *known = qr_members_get(&g->members, h->name);
     bool is_restarted = known && known->incarnation != h->incarnation;
     FormerRun former = former_run(known, qr_gateway_now(g));
@@ -337,10 +337,10 @@
                                  const Qr__Fleet__Fetch *fetch)
 {
     QRKnownVersions known = {fetch->policy_version, fetch->weights_revision,
-                         fetch->offset};
+                             fetch->offset};
 
-    qr_operator_send_missing(&g->operator, & known, QR_FOR_GATEWAYS, qr_gateway_now(g),
-                     send_record, peer);
+    qr_operator_send_missing(&g->operator, & known, QR_FOR_GATEWAYS,
+                             qr_gateway_now(g), send_record, peer);
 }
 
 static void take_frame(void *owner, QRPeerConn *peer, const QRFrame *frame)
--- a/src/gateway/qr_gateway_share.c
+++ b/src/gateway/qr_gateway_share.c
@@ -99,7 +99,8 @@
 
 QRPosition qr_share_known_position(const QRGateway *g)
 {
-    QRPosition read = qr_position_before(qr_follower_next_position(g->follow_engines));
+    QRPosition read =
+        qr_position_before(qr_follower_next_position(g->follow_engines));
 
     if (g->store_reads_paused)
         return g->engines_received;
@@ -123,7 +124,8 @@
 
 bool qr_share_own_reads_are_fresh(const QRGateway *g, uint64_t now_ms)
 {
-    return !g->store_reads_paused && qr_follower_is_reachable(g->follow_engines) &&
+    return !g->store_reads_paused &&
+           qr_follower_is_reachable(g->follow_engines) &&
            now_ms < qr_follower_answered_ms(g->follow_engines) + FRESH_MS;
 }
 
@@ -338,7 +340,7 @@
     if (load->engines_since == 0 && load->engines_since_epoch == 0)
         return (QRPosition){0};
     return qr_position_from_peer(load->engines_since_epoch, load->engines_since,
-                            g->store_epoch);
+                                 g->store_epoch);
 }
 
 void qr_gateway_share_take_load(QRGateway *g, QRFleetMember *member,
--- a/src/gateway/qr_gateway_store.c
+++ b/src/gateway/qr_gateway_store.c
@@ -76,7 +76,8 @@
     QRGateway *g = owner;
 
     (void)keys; /* the operator's records are never deleted */
-    qr_gateway_note_epoch(g, qr_follower_next_position(g->follow_operator).epoch);
+    qr_gateway_note_epoch(g,
+                          qr_follower_next_position(g->follow_operator).epoch);
 }
 
 static void operator_reached(void *owner, bool reached, const char *why)
@@ -337,9 +338,8 @@
     uint64_t bound = (uint64_t)g->set->version_ms;
 
     bound -= MIN(bound, margin_ms);
-    return service
-               ? qr_operator_overdue_version(&g->operator, service->engine.model,
-                                         bound,
-                                         qr_gateway_bound_clock_ms(g, now_ms))
-               : 0;
+    return service ? qr_operator_overdue_version(
+                         &g->operator, service->engine.model, bound,
+                         qr_gateway_bound_clock_ms(g, now_ms))
+                   : 0;
 }
--- a/src/gateway/qr_requests_store.c
+++ b/src/gateway/qr_requests_store.c
@@ -72,7 +72,8 @@
     uint64_t now = qr_gateway_now(g);
     char text[QR_FINGERPRINT_HEX];
     bool stored = a->status == 200;
-    uint64_t rest = qr_platform_retry_delay_ms(g->platform, a->status, a->headers);
+    uint64_t rest =
+        qr_platform_retry_delay_ms(g->platform, a->status, a->headers);
 
     (void)ref;
     q->write = NULL;
--- a/tests/unit_fleet.c
+++ b/tests/unit_fleet.c
@@ -41,14 +41,18 @@
     QRAttemptFacts f = facts(false, 1, 2);
 
     ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_BROKEN), QR_STEP_FAIL);
-    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_FAILURE), QR_STEP_FORWARD);
+    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_FAILURE),
+                     QR_STEP_FORWARD);
     f = facts(false, 0, 1);
-    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_NOT_RUN), QR_STEP_RETRY);
+    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_NOT_RUN),
+                     QR_STEP_RETRY);
     f.engine_available = false;
-    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_NOT_RUN), QR_STEP_REFUSE);
+    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_NOT_RUN),
+                     QR_STEP_REFUSE);
     /* refused now, but an earlier sending may have run */
     f = facts(false, 1, 2);
-    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_NOT_RUN), QR_STEP_FAIL);
+    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_NOT_RUN),
+                     QR_STEP_FAIL);
 }
 END_TEST
 
@@ -56,8 +60,10 @@
 {
     QRAttemptFacts f = facts(true, 1, 2);
 
-    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_BROKEN), QR_STEP_RETRY);
-    ck_assert_int_eq(qr_attempt_step_without_budget(&f, QR_ATTEMPT_BROKEN), QR_STEP_FAIL);
+    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_BROKEN),
+                     QR_STEP_RETRY);
+    ck_assert_int_eq(qr_attempt_step_without_budget(&f, QR_ATTEMPT_BROKEN),
+                     QR_STEP_FAIL);
     f.runs = 2;
     ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_BROKEN), QR_STEP_FAIL);
     f.answer_started = true;
@@ -74,11 +80,15 @@
     QRAttemptFacts f = facts(true, 1, 2);
 
     f.answer_started = true;
-    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_BROKEN), QR_STEP_RETRY);
-    ck_assert_int_eq(qr_attempt_step_without_budget(&f, QR_ATTEMPT_BROKEN), QR_STEP_WAIT);
+    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_BROKEN),
+                     QR_STEP_RETRY);
+    ck_assert_int_eq(qr_attempt_step_without_budget(&f, QR_ATTEMPT_BROKEN),
+                     QR_STEP_WAIT);
     f.engine_available = false;
-    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_NOT_RUN), QR_STEP_WAIT);
-    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_FAILURE), QR_STEP_WAIT);
+    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_NOT_RUN),
+                     QR_STEP_WAIT);
+    ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_FAILURE),
+                     QR_STEP_WAIT);
     f.time_left_ms = 10;
     ck_assert_int_eq(qr_attempt_next_step(&f, QR_ATTEMPT_BROKEN), QR_STEP_CUT);
     f = facts(false, 1, 2);
@@ -380,7 +390,8 @@
     QRDeadlines d = {0};
 
     qr_deadlines_record(&d, 6000);
-    ck_assert_uint_eq(qr_deadlines_estimate_waited(&d, 3000), 0); /* too few samples */
+    ck_assert_uint_eq(qr_deadlines_estimate_waited(&d, 3000),
+                      0); /* too few samples */
     note_many(&d, 5970, 6000, 500);
     note_many(&d, 4000, 5400, 300); /* repeated calls */
     ck_assert_uint_eq(qr_deadlines_estimate_waited(&d, 6000), 0);
