--- a/src/sidecar/qr_pieces.c
+++ b/src/sidecar/qr_pieces.c
@@ -60,9 +60,9 @@
             "whole version=%" G_GUINT64_FORMAT " ms=%" G_GUINT64_FORMAT
             " origin_bytes=%" G_GUINT64_FORMAT
             " peer_pieces=%" G_GUINT64_FORMAT,
-            t->version, t->since_ms ? t->progress.last_ms - t->since_ms : 0,
+            t->version, t->named_ms ? t->progress.last_ms - t->named_ms : 0,
             s->origin_bytes, s->peer_pieces);
-    qr_sidecar_tell_state(s, true);
+    qr_sidecar_send_state(s, true);
 }
 
 /* Whether the bytes are what the version has there; a manifest is read. */
@@ -72,7 +72,7 @@
     char digest[QR_SHA_HEX];
 
     if (index == QR_MANIFEST_INDEX)
-        return qr_target_manifest(t, data, len);
+        return qr_target_set_manifest(t, data, len);
     qr_sha256_hex(data, len, digest);
     return strcmp(digest, t->manifest->digests->pdata[index]) == 0;
 }
@@ -95,9 +95,9 @@
     p->data = g_bytes_new(data, len);
     p->asked = false;
     qr_progress_note(&t->progress, qr_sidecar_now(t->sidecar));
-    t->held += index != QR_MANIFEST_INDEX;
+    t->held_pieces += index != QR_MANIFEST_INDEX;
     qr_piece_came(t, index);
-    if (qr_target_whole(t))
+    if (qr_target_is_complete(t))
         target_whole(t);
     return true;
 }
@@ -122,7 +122,7 @@
             (int)index, a->status, a->why ? a->why : "-", t->version, rest);
     p->asked = false;
     p->asked_ms = qr_sidecar_now(t->sidecar);
-    t->sidecar->origin_next_ms = p->asked_ms + MAX(ORIGIN_AGAIN_MS, rest);
+    t->sidecar->origin_retry_ms = p->asked_ms + MAX(ORIGIN_AGAIN_MS, rest);
 }
 
 unsigned qr_pieces_from_origin(const QRSidecar *s)
@@ -146,7 +146,7 @@
         return;
     s->origin_used_ms = 0;
     if (origin_address(s))
-        qr_client_forget(s->to_origin, origin_address(s));
+        qr_client_forget(s->origin_client, origin_address(s));
 }
 
 static void piece_from_origin(QRTarget *t, uint32_t index, uint64_t now)
@@ -155,7 +155,7 @@
     g_autofree char *path = NULL;
     QRWholeRequest r = {0};
 
-    if (!origin_address(s) || now < s->origin_next_ms ||
+    if (!origin_address(s) || now < s->origin_retry_ms ||
         qr_pieces_from_origin(s) >= ORIGIN_AT_ONCE)
         return;
     path = index == QR_MANIFEST_INDEX
@@ -167,7 +167,7 @@
     r.connect_ms = CONNECT_MS;
     r.timeout_ms = ORIGIN_TIMEOUT_MS;
     qr_piece(t, index)->fetch =
-        qr_whole_send(s->to_origin, &r, origin_done, t, index);
+        qr_whole_send(s->origin_client, &r, origin_done, t, index);
 }
 
 /* The source that was asked, or dialled, gave nothing: the next one. */
@@ -176,16 +176,16 @@
     p->asked = p->pending = false;
     p->dial_ms = 0;
     if (p->from_root)
-        p->tried.roots++;
+        p->attempts.roots++;
     else
-        p->tried.relays++;
+        p->attempts.relays++;
 }
 
 static const Qr__Fleet__Want__Role want_roles[] = {
-    [QR_PIECE_OWN] = QR__FLEET__WANT__ROLE__RELAY,
-    [QR_PIECE_RELAY] = QR__FLEET__WANT__ROLE__RELAY,
-    [QR_PIECE_FIRST] = QR__FLEET__WANT__ROLE__FIRST,
-    [QR_PIECE_ROOT] = QR__FLEET__WANT__ROLE__ROOT,
+    [QR_PIECE_ROLE_NONE] = QR__FLEET__WANT__ROLE__RELAY,
+    [QR_PIECE_ROLE_RELAY] = QR__FLEET__WANT__ROLE__RELAY,
+    [QR_PIECE_ROLE_FIRST_RELAY] = QR__FLEET__WANT__ROLE__FIRST,
+    [QR_PIECE_ROLE_ROOT] = QR__FLEET__WANT__ROLE__ROOT,
 };
 
 static void piece_ask(QRTarget *t, uint32_t index, const QRPieceSource *source,
@@ -193,11 +193,11 @@
 {
     QRSidecar *s = t->sidecar;
     QRPiece *p = qr_piece(t, index);
-    QRPeerConn *peer = qr_sidecar_peer_at(s, source->from->address);
+    QRPeerConn *peer = qr_sidecar_open_peer(s, source->from->address);
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__Want want = QR__FLEET__WANT__INIT;
 
-    p->from_root = source->role == QR_PIECE_ROOT;
+    p->from_root = source->role == QR_PIECE_ROLE_ROOT;
     if (!peer) { /* being dialled; the next tick sees it */
         if (p->dial_ms == 0)
             p->dial_ms = now;
@@ -206,8 +206,8 @@
         return;
     }
     p->dial_ms = 0;
-    want.attempt = p->tried.relays;
-    want.root_attempt = p->tried.roots;
+    want.attempt = p->attempts.relays;
+    want.root_attempt = p->attempts.roots;
     want.role = want_roles[source->role];
     want.model = s->model;
     want.version = t->version;
@@ -217,8 +217,8 @@
     qr_peer_send(peer, &frame);
     qr_peer_expect(peer);
     p->asked = true;
-    p->asked_on = peer;
-    p->heard = p->pending = false;
+    p->asked_conn = peer;
+    p->answered = p->pending = false;
     p->asked_ms = p->first_asked_ms = now;
     g_free(p->source);
     p->source = g_strdup(source->from->name);
@@ -250,28 +250,29 @@
     uint64_t now = qr_sidecar_now(s);
 
     /* few were on their way: it is the link itself that is slow */
-    if (ms > PIECE_SLOW_MS && s->window <= WINDOW_FEW)
+    if (ms > PIECE_SLOW_MS && s->piece_window <= WINDOW_FEW)
         qr_link_note_slow(s, now);
     if (ms > PIECE_SLOW_MS)
-        s->window = MAX(s->window / 2, WINDOW_LEAST);
+        s->piece_window = MAX(s->piece_window / 2, WINDOW_LEAST);
     if (ms < PIECE_FAST_MS) {
-        s->window = MIN(s->window + 1, WINDOW_MOST);
-        s->slow_until_ms = MIN(s->slow_until_ms, now);
+        s->piece_window = MIN(s->piece_window + 1, WINDOW_MOST);
+        s->link_slow_until_ms = MIN(s->link_slow_until_ms, now);
     }
 }
 
 void qr_link_note_slow(QRSidecar *s, uint64_t now_ms)
 {
-    s->slow_until_ms = now_ms + SLOW_LINK_MS;
+    s->link_slow_until_ms = now_ms + SLOW_LINK_MS;
 }
 
 bool qr_link_is_slow(QRSidecar *s, uint64_t now_ms)
 {
-    if (now_ms >= s->slow_until_ms)
+    if (now_ms >= s->link_slow_until_ms)
         return false;
     /* what is on its way will tell: until then it stays slow */
     if (s->targets && on_their_way(s) > 0)
-        s->slow_until_ms = MAX(s->slow_until_ms, now_ms + SLOW_LINK_MS);
+        s->link_slow_until_ms =
+            MAX(s->link_slow_until_ms, now_ms + SLOW_LINK_MS);
     return true;
 }
 
@@ -286,7 +287,7 @@
         return now > p->asked_ms + PENDING_MOST_MS ||
                qr_progress_passed_by(&t->progress, p->first_asked_ms, wait,
                                      now);
-    if (p->asked && !p->heard)
+    if (p->asked && !p->answered)
         return now > p->asked_ms + UNHEARD_MOST_MS / share;
     if (now > p->asked_ms + ASKED_MOST_MS / share)
         return true;
@@ -295,9 +296,9 @@
 
 void qr_pieces_refresh(QRSidecar *s, uint64_t now_ms)
 {
-    if (now_ms < s->refresh_ms)
+    if (now_ms < s->pending_refresh_ms)
         return;
-    s->refresh_ms = now_ms + REFRESH_MS;
+    s->pending_refresh_ms = now_ms + REFRESH_MS;
     for (unsigned i = 0; i < s->waiters->len; i++) {
         const QRWaiter *w = &g_array_index(s->waiters, QRWaiter, i);
 
@@ -319,8 +320,8 @@
 static QRPieceRole role_of(QRPiece *p, uint64_t now_ms)
 {
     if (p->pending && now_ms > p->first_asked_ms + BY_ROLE_MS)
-        p->goes_by_role = true;
-    return p->goes_by_role ? p->role : QR_PIECE_OWN;
+        p->uses_role = true;
+    return p->uses_role ? p->role : QR_PIECE_ROLE_NONE;
 }
 
 /*
@@ -344,14 +345,14 @@
     }
     if (p->asked && !p->pending)
         return;
-    source = qr_source_choose(plan, index, p->tried, role_of(p, now_ms));
+    source = qr_source_choose(plan, index, p->attempts, role_of(p, now_ms));
     if (p->asked && is_source(p, &source))
         return;
     p->asked = p->pending = false;
     if (!source.from)
         piece_from_origin(t, index, now_ms);
-    else if (index == QR_MANIFEST_INDEX || source.role == QR_PIECE_ROOT ||
-             on_their_way(s) < (unsigned)s->window)
+    else if (index == QR_MANIFEST_INDEX || source.role == QR_PIECE_ROLE_ROOT ||
+             on_their_way(s) < (unsigned)s->piece_window)
         piece_ask(t, index, &source, now_ms);
 }
 
@@ -398,7 +399,7 @@
     }
     if (p->data || !from || g_strcmp0(p->source, from->name) != 0)
         return;
-    p->heard = true;
+    p->answered = true;
     if (piece->state == QR__FLEET__PIECE__STATE__QUEUED)
         return;
     p->asked_ms = qr_sidecar_now(s);
@@ -413,7 +414,7 @@
 
 static void piece_peer_closed(QRPiece *p, const QRPeerConn *peer)
 {
-    if (p->asked && p->asked_on == peer)
+    if (p->asked && p->asked_conn == peer)
         piece_give_up(p);
 }
 
--- a/src/sidecar/qr_sidecar.c
+++ b/src/sidecar/qr_sidecar.c
@@ -6,18 +6,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define STOOD_STILL_MS 150 /* between two ticks */
-#define TICK_MS 25
-#define SLOW_TICK_MS 100
-#define REPORT_MS 250     /* between two reports while nothing changes */
-#define REPORT_BUSY_MS 60 /* while the engine switches */
+#define TICK_DELAY_MAX_MS 150 /* between two ticks */
+#define TICK_INTERVAL_MS 25
+#define SLOW_TICK_INTERVAL_MS 100
+#define REPORT_INTERVAL_MS 250 /* between two reports while nothing changes */
+#define REPORT_BUSY_INTERVAL_MS 60 /* while the engine switches */
 #define REPORT_TIMEOUT_MS 800
-#define CONNECT_MS 400
+#define CONNECT_TIMEOUT_MS 400
 #define STORE_TIMEOUT_MS 800
-#define STORE_WAIT_MS 2000
+#define STORE_LONG_POLL_MS 2000
 /* Without a gateway to tell us: one that starts is reached in well under a
    second; a version's bound is many. */
-#define ALONE_MS 2000
+#define GATEWAY_ABSENT_MS 2000
 
 uint64_t qr_sidecar_now(const QRSidecar *s)
 {
@@ -50,7 +50,7 @@
                         t && t->pieces ? t->pieces->len : 0);
 }
 
-uint64_t qr_sidecar_newest(const QRSidecar *s)
+uint64_t qr_sidecar_newest_version(const QRSidecar *s)
 {
     const QRTarget *t;
 
@@ -66,24 +66,24 @@
            g_strcmp0(s->report.model, s->model) == 0;
 }
 
-uint64_t qr_sidecar_held(const QRSidecar *s)
+uint64_t qr_sidecar_held_version(const QRSidecar *s)
 {
     for (unsigned i = s->targets ? s->targets->len : 0; i > 0; i--) {
         const QRTarget *t = s->targets->pdata[i - 1];
 
-        if (qr_target_whole(t) || qr_sidecar_serves(s, t->version))
+        if (qr_target_is_complete(t) || qr_sidecar_serves(s, t->version))
             return t->version;
     }
     return 0;
 }
 
-static void report_taken(QRSidecar *s, QREngineReport *new, bool reachable)
+static void apply_report(QRSidecar *s, QREngineReport *new, bool reachable)
 {
-    bool news = s->report_ms == 0 || reachable != s->reachable ||
-                new->version != s->report.version ||
-                new->born_ms != s->report.born_ms;
+    bool changed = s->report_ms == 0 || reachable != s->reachable ||
+                   new->version != s->report.version ||
+                   new->born_ms != s->report.born_ms;
 
-    if (news)
+    if (changed)
         qr_logf(QR_LEVEL_INFO, "engine",
                 "reports reachable=%d version=%" G_GUINT64_FORMAT
                 " busy=%d sequence=%" G_GUINT64_FORMAT " active=%u",
@@ -101,13 +101,13 @@
     if (s->switching && !s->announced_ms && !s->order_call && !new->busy &&
         s->report_asked_ms > s->order_answered_ms) {
         s->switching = false;
-        news = true;
+        changed = true;
     }
-    if (news)
-        qr_sidecar_tell_state(s, true);
+    if (changed)
+        qr_sidecar_send_state(s, true);
 }
 
-static void report_done(void *owner, unsigned ref, const QRWholeAnswer *a)
+static void report_finished(void *owner, unsigned ref, const QRWholeAnswer *a)
 {
     QRSidecar *s = owner;
     QREngineReport new = {0};
@@ -117,7 +117,7 @@
     (void)ref;
     s->report_call = NULL;
     if (a->status == 0) {
-        report_taken(s, &new, false);
+        apply_report(s, &new, false);
         return;
     }
     if (a->status != 200)
@@ -126,7 +126,7 @@
     s->report_unreadable =
         s->platform->parse_report(a->data, a->len, &new, &f) != 0;
     if (!s->report_unreadable) {
-        report_taken(s, &new, true);
+        apply_report(s, &new, true);
         return;
     }
     qr_engine_report_clear(&new);
@@ -135,7 +135,7 @@
                 (char *)f.lines->pdata[0]);
 }
 
-static void report_ask(QRSidecar *s, uint64_t now)
+static void request_report(QRSidecar *s, uint64_t now)
 {
     g_autofree char *path = s->platform->report_path();
     QRWholeRequest r = {0};
@@ -143,33 +143,34 @@
     r.address = s->set->engine;
     r.method = "GET";
     r.path = path;
-    r.connect_ms = CONNECT_MS;
+    r.connect_ms = CONNECT_TIMEOUT_MS;
     r.timeout_ms = REPORT_TIMEOUT_MS;
-    s->report_next_ms = now + (s->switching ? REPORT_BUSY_MS : REPORT_MS);
+    s->report_next_ms =
+        now + (s->switching ? REPORT_BUSY_INTERVAL_MS : REPORT_INTERVAL_MS);
     s->report_asked_ms = now;
-    s->report_call = qr_whole_send(s->to_engine, &r, report_done, s, 0);
+    s->report_call = qr_whole_send(s->engine_client, &r, report_finished, s, 0);
 }
 
 static void operator_record(void *owner, const QRStoreRecord *r)
 {
     QRSidecar *s = owner;
     uint64_t now = qr_sidecar_now(s);
-    uint64_t gap = qr_follower_gap_ms(s->follow_operator);
+    uint64_t gap = qr_follower_gap_ms(s->operator_follower);
     /* the gateway that we followed told what it heard as it heard it */
-    uint64_t age = MIN(gap, now - s->told_ms);
+    uint64_t age = MIN(gap, now - s->gateway_heard_ms);
 
     if (qr_operator_is_empty(&s->operator))
         age = QR_AGE_UNKNOWN_MS;
     qr_operator_take(&s->operator, r, MIN(age, QR_AGE_UNKNOWN_MS), now);
 }
 
-static void operator_news(void *owner, const QRStoreRecord *r)
+static void operator_changed(void *owner, const QRStoreRecord *r)
 {
     (void)r;
-    qr_weights_retarget(owner);
+    qr_weights_update_targets(owner);
 }
 
-static void operator_went_back(void *owner, uint64_t epoch)
+static void operator_rolled_back(void *owner, uint64_t epoch)
 {
     (void)owner;
     (void)epoch; /* versions that the store has lost stay named */
@@ -189,7 +190,7 @@
 }
 
 static const QRFollowerHandlers operator_handlers = {
-    operator_record, operator_went_back, operator_listed, operator_reached};
+    operator_record, operator_rolled_back, operator_listed, operator_reached};
 
 /*
  * The gateway that we follow tells us what concerns us. What the store would
@@ -198,49 +199,49 @@
  * others as soon as any does; were all sidecars to read for themselves then,
  * the store's return would find them all asking for everything.
  */
-static void choose_reading(QRSidecar *s, uint64_t now)
+static void choose_operator_source(QRSidecar *s, uint64_t now)
 {
     bool reads;
 
-    if (s->followed)
-        s->followed_ms = now;
-    reads = now >= s->followed_ms + ALONE_MS;
+    if (s->followed_gateway)
+        s->followed_until_ms = now;
+    reads = now >= s->followed_until_ms + GATEWAY_ABSENT_MS;
     if (reads == s->reads_store)
         return;
     s->reads_store = reads;
     qr_logf(QR_LEVEL_INFO, "store", "%s alone_ms=%" G_GUINT64_FORMAT,
             reads ? "read by ourselves" : "heard from a gateway",
-            now - s->followed_ms);
-    qr_follower_pause(s->follow_operator, !reads);
+            now - s->followed_until_ms);
+    qr_follower_pause(s->operator_follower, !reads);
 }
 
 static void sidecar_tick(uv_timer_t *timer)
 {
     QRSidecar *s = timer->data;
     uint64_t now = qr_sidecar_now(s);
-    uint64_t gap = qr_ticks_stood_still(&s->ticks, now, STOOD_STILL_MS);
+    uint64_t gap = qr_ticks_stood_still(&s->ticks, now, TICK_DELAY_MAX_MS);
 
     if (gap > 0) {
         qr_logf(QR_LEVEL_WARN, "sidecar", "stood still ms=%" G_GUINT64_FORMAT,
                 gap);
         return; /* what came meanwhile is read first */
     }
-    qr_client_tick(s->to_engine, now);
-    qr_client_tick(s->to_origin, now);
-    qr_client_tick(s->to_store, now);
+    qr_client_tick(s->engine_client, now);
+    qr_client_tick(s->origin_client, now);
+    qr_client_tick(s->store_client, now);
     if (!s->report_call && now >= s->report_next_ms)
-        report_ask(s, now);
+        request_report(s, now);
     qr_weights_tick(s, now);
     qr_weights_upload(s, now);
     qr_stage_tick(s, now);
     if (now < s->slow_tick_ms)
         return;
-    s->slow_tick_ms = now + SLOW_TICK_MS;
+    s->slow_tick_ms = now + SLOW_TICK_INTERVAL_MS;
     qr_peers_tick(s->peers, now);
     qr_sidecar_peers_tick(s);
-    choose_reading(s, now);
-    qr_follower_tick(s->follow_operator, now);
-    qr_sidecar_tell_state(s, false);
+    choose_operator_source(s, now);
+    qr_follower_tick(s->operator_follower, now);
+    qr_sidecar_send_state(s, false);
     if (s->metrics)
         qr_server_tick(s->metrics, now);
     qr_log_flush();
@@ -280,7 +281,7 @@
         "quayring_sidecar_slots_paced_total %" G_GUINT64_FORMAT "\n"
         "quayring_sidecar_slots_rested_total %" G_GUINT64_FORMAT "\n",
         s->origin_bytes, s->peer_pieces, s->orders, s->report.version,
-        qr_sidecar_newest(s), s->slots.granted, s->slots.denied,
+        qr_sidecar_newest_version(s), s->slots.granted, s->slots.denied,
         s->slots.yielded, s->slots.paced, s->slots.rested);
     qr_traffic_text(qr_peers_traffic(s->peers), text);
     qr_exchange_reply(x, 200, NULL, text->str, text->len);
@@ -315,9 +316,9 @@
     s->incarnation = g_random_int() | (uint64_t)g_random_int() << 32;
     s->gateways = g_ptr_array_new();
     g_queue_init(&s->uploads);
-    s->sent = qr_upload_sent_new();
+    s->unconfirmed_uploads = qr_upload_sent_new();
     s->waiters = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
-    qr_operator_init(&s->operator, s->platform, operator_news, s);
+    qr_operator_init(&s->operator, s->platform, operator_changed, s);
     qr_members_init(&s->members);
     qr_slots_init(&s->slots);
     sidecar_add_self(s);
@@ -328,17 +329,17 @@
     QRFollowerOptions operator= {
         .topic = QR_TOPIC_OPERATOR,
         .address = s->set->store,
-        .wait_ms = STORE_WAIT_MS,
+        .wait_ms = STORE_LONG_POLL_MS,
         .timeout_ms = STORE_TIMEOUT_MS,
     };
 
-    s->to_engine = qr_client_new(s->loop, s->platform->headers.call_id);
-    s->to_origin = qr_client_new(s->loop, s->platform->headers.call_id);
-    s->to_store = qr_client_new(s->loop, s->platform->headers.call_id);
-    s->follow_operator = qr_follower_new(s->to_store, s->platform,
-                                         &operator, & operator_handlers, s);
-    qr_follower_pause(s->follow_operator, true);
-    s->followed_ms = qr_sidecar_now(s);
+    s->engine_client = qr_client_new(s->loop, s->platform->headers.call_id);
+    s->origin_client = qr_client_new(s->loop, s->platform->headers.call_id);
+    s->store_client = qr_client_new(s->loop, s->platform->headers.call_id);
+    s->operator_follower = qr_follower_new(s->store_client, s->platform,
+                                           &operator, & operator_handlers, s);
+    qr_follower_pause(s->operator_follower, true);
+    s->followed_until_ms = qr_sidecar_now(s);
     for (unsigned i = 0; i < s->set->seeds->len; i++)
         qr_peers_dial(s->peers, s->set->seeds->pdata[i]);
 }
@@ -360,10 +361,10 @@
     qr_weights_clear(s);
     qr_whole_cancel(s->report_call);
     qr_whole_cancel(s->order_call);
-    qr_follower_free(s->follow_operator);
-    qr_client_close(s->to_engine);
-    qr_client_close(s->to_origin);
-    qr_client_close(s->to_store);
+    qr_follower_free(s->operator_follower);
+    qr_client_close(s->engine_client);
+    qr_client_close(s->origin_client);
+    qr_client_close(s->store_client);
     qr_peers_close(s->peers);
     if (s->metrics)
         qr_server_close(s->metrics);
@@ -376,7 +377,7 @@
     qr_engine_report_clear(&s->report);
     g_ptr_array_unref(s->gateways);
     g_array_unref(s->waiters);
-    g_array_unref(s->sent);
+    g_array_unref(s->unconfirmed_uploads);
     g_queue_clear_full(&s->uploads, g_free);
     qr_operator_clear(&s->operator);
     qr_members_clear(&s->members);
@@ -406,7 +407,7 @@
     sidecar_connect(&s);
     uv_timer_init(s.loop, &s.timer);
     s.timer.data = &s;
-    uv_timer_start(&s.timer, sidecar_tick, 0, TICK_MS);
+    uv_timer_start(&s.timer, sidecar_tick, 0, TICK_INTERVAL_MS);
     qr_logf(QR_LEVEL_INFO, "sidecar",
             "started version=%s engine=%s zone=%s "
             "incarnation=%016" G_GINT64_MODIFIER "x",
--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -31,21 +31,21 @@
     bool staged;          /* lies at the engine, as far as we know */
     bool verified;        /* read back since, and found right */
     uint64_t verified_ms; /* when that was */
-    QRSourceAttempts tried;
+    QRSourceAttempts attempts;
     QRPieceRole role;        /* what those who ask for it take us for */
-    bool goes_by_role;       /* it is drawn so: waiting for others was vain */
+    bool uses_role;          /* it is drawn so: waiting for others was vain */
     bool from_root;          /* the peer asked is a root, else a relay */
     bool asked;              /* a peer was asked, at 'asked_ms' */
-    bool heard;              /* it answered, with whatever */
+    bool answered;           /* it answered, with whatever */
     bool pending;            /* it has none yet, and will tell */
     uint64_t asked_ms;       /* or when it last said that it is pending */
     uint64_t first_asked_ms; /* this source */
     uint64_t dial_ms;        /* since when the peer is dialled for it; 0: not */
     char *source;            /* name of the peer asked */
-    const void *asked_on;    /* its connection; not owned, may be closed */
+    const void *asked_conn;  /* its connection; not owned, may be closed */
     QRWhole *fetch;          /* from the origin */
     QRWhole *stage;          /* put or read back */
-    bool reading;            /* 'stage' reads */
+    bool stage_is_read;      /* 'stage' reads */
 } QRPiece;
 
 /*
@@ -55,13 +55,13 @@
 typedef struct QRTarget {
     QRSidecar *sidecar;
     uint64_t version;
-    uint64_t since_ms;       /* when it was named; 0: long ago */
+    uint64_t named_ms;       /* when it was named; 0: long ago */
     QRManifest *manifest;    /* NULL: not here yet */
     QRPiece *manifest_piece; /* its bytes, and how they are drawn; owned */
     GArray *pieces;          /* QRPiece; NULL without a manifest */
-    unsigned held;           /* pieces here */
+    unsigned held_pieces;    /* pieces here */
     QRProgress progress;
-    uint64_t told_ms; /* when its progress was last logged */
+    uint64_t logged_ms; /* when its progress was last logged */
     bool scanning;
     bool scanned; /* what lay at the engine was looked at */
 } QRTarget;
@@ -72,7 +72,7 @@
     QRTarget *target; /* NULL: its version has not been heard of here yet */
     uint64_t version;
     uint32_t index;
-    unsigned order; /* among those whose pieces are to be sent */
+    unsigned upload_number; /* among those whose pieces are to be sent */
 } QRWaiter;
 
 struct QRSidecar {
@@ -82,19 +82,19 @@
     const QRPlatform *platform;
     QROperator operator;
     QRFleetMembers members;
-    QRClient *to_engine, *to_origin, *to_store;
-    QRFollower *follow_operator;
+    QRClient *engine_client, *origin_client, *store_client;
+    QRFollower *operator_follower;
     QRPeerNet *peers;
-    QRPeerConn *followed; /* the gateway that tells us what it hears */
-    uint64_t followed_ms; /* until when one was followed, or the start */
-    uint64_t told_ms;     /* when it last said anything */
-    bool reads_store;     /* we read the operator's records ourselves */
-    GPtrArray *gateways;  /* QRPeerConn *: dialled and open */
+    QRPeerConn *followed_gateway; /* the gateway that tells us what it hears */
+    uint64_t followed_until_ms; /* until when one was followed, or the start */
+    uint64_t gateway_heard_ms;  /* when it last said anything */
+    bool reads_store;           /* we read the operator's records ourselves */
+    GPtrArray *gateways;        /* QRPeerConn *: dialled and open */
     QRServer *metrics;
     uv_timer_t timer;
     QRTicks ticks;
     uv_signal_t sigterm, sigint, sighup;
-    uint64_t incarnation, slow_tick_ms, state_ms;
+    uint64_t incarnation, slow_tick_ms, state_sent_ms;
     /* the engine */
     QREngineReport report;
     bool report_unreadable; /* the last one; told once */
@@ -109,13 +109,13 @@
     uint64_t staging_version; /* whose turn it is to be staged */
     GArray *waiters;          /* QRWaiter: their pieces are not here yet */
     GQueue uploads; /* QRWaiter *: pieces to send, first asked first */
-    GArray *sent;   /* pieces sent that have not arrived yet */
+    GArray *unconfirmed_uploads; /* pieces sent that have not arrived yet */
     QRPace upload_pace;
-    uint64_t slow_until_ms;  /* see qr_link_is_slow() */
-    uint64_t refresh_ms;     /* when those who wait here are told so next */
-    uint64_t origin_next_ms; /* the origin failed: not asked before */
-    uint64_t origin_used_ms; /* it last answered; 0: nothing rests open */
-    double window;           /* pieces that may be on their way to us at once */
+    uint64_t link_slow_until_ms; /* see qr_link_is_slow() */
+    uint64_t pending_refresh_ms; /* when those who wait here are told so next */
+    uint64_t origin_retry_ms;    /* the origin failed: not asked before */
+    uint64_t origin_used_ms;     /* it last answered; 0: nothing rests open */
+    double piece_window; /* pieces that may be on their way to us at once */
     /* the order */
     QRWhole *order_call;
     uint64_t order_next_ms, order_answered_ms;
@@ -124,7 +124,7 @@
                               out, or the engine is at work on it */
     uint64_t announced_ms; /* when gateways were told; 0: no order is coming */
     uint64_t origin_bytes, peer_pieces, orders;
-    bool slow_told; /* what gateways were told of that */
+    bool reported_slow_link; /* what gateways were told of that */
     bool stopped;
 };
 
@@ -133,14 +133,14 @@
 /* The order of the sidecars for a version. */
 void qr_sidecar_plan(const QRSidecar *s, uint64_t version, QRSourcePlan *plan);
 /* The newest version named; 0: none is known. */
-uint64_t qr_sidecar_newest(const QRSidecar *s);
+uint64_t qr_sidecar_newest_version(const QRSidecar *s);
 /* Whether the engine serves that version of the model, or a newer one. */
 bool qr_sidecar_serves(const QRSidecar *s, uint64_t version);
 /* The newest version of which all pieces are here or at the engine; 0: none. */
-uint64_t qr_sidecar_held(const QRSidecar *s);
+uint64_t qr_sidecar_held_version(const QRSidecar *s);
 
 /* Weights: targets, their manifests and pieces. */
-void qr_weights_retarget(QRSidecar *s);
+void qr_weights_update_targets(QRSidecar *s);
 void qr_weights_tick(QRSidecar *s, uint64_t now_ms);
 /* Sends pieces that peers asked for, no faster than the link may carry. */
 void qr_weights_upload(QRSidecar *s, uint64_t now_ms);
@@ -151,7 +151,7 @@
 void qr_weights_peer_closed(QRSidecar *s, const QRPeerConn *peer);
 void qr_weights_clear(QRSidecar *s);
 /* Takes the manifest's bytes over. Returns false if they are not of it. */
-bool qr_target_manifest(QRTarget *t, const void *data, size_t len);
+bool qr_target_set_manifest(QRTarget *t, const void *data, size_t len);
 /* Draws a piece, or the manifest, from where it is to be had, if it is due. */
 void qr_piece_tick(QRTarget *t, uint32_t index, const QRSourcePlan *plan,
                    uint64_t now_ms);
@@ -177,9 +177,9 @@
                ? t->manifest_piece
                : &g_array_index(t->pieces, QRPiece, index);
 }
-static inline bool qr_target_whole(const QRTarget *t)
+static inline bool qr_target_is_complete(const QRTarget *t)
 {
-    return t->pieces && t->held == t->pieces->len;
+    return t->pieces && t->held_pieces == t->pieces->len;
 }
 
 /* The target of that version, or NULL. */
@@ -212,10 +212,10 @@
 
 /* Peers. */
 extern const QRPeerHandlers qr_sidecar_peer_handlers;
-void qr_sidecar_tell_state(QRSidecar *s, bool news);
+void qr_sidecar_send_state(QRSidecar *s, bool changed);
 void qr_sidecar_peers_tick(QRSidecar *s);
 /* The open connection to a sidecar, dialled if there is none yet; or NULL. */
-QRPeerConn *qr_sidecar_peer_at(QRSidecar *s, const char *address);
+QRPeerConn *qr_sidecar_open_peer(QRSidecar *s, const char *address);
 
 int qr_sidecar_run(const char *settings_file, QRFleetSettings *set);
 
--- a/src/sidecar/qr_sidecar_peers.c
+++ b/src/sidecar/qr_sidecar_peers.c
@@ -5,9 +5,11 @@
 
 #include <string.h>
 
-#define STATE_MS 1000 /* between two words on the engine that say no news */
+#define STATE_INTERVAL_MS                                                      \
+    1000 /* between two words on the engine that say no changed */
 
-static void peer_greet(void *owner, QRFrame *frame, Qr__Fleet__Hello *hello)
+static void peer_fill_hello(void *owner, QRFrame *frame,
+                            Qr__Fleet__Hello *hello)
 {
     QRSidecar *s = owner;
     QRKnowledge known = qr_operator_knowledge(&s->operator);
@@ -28,7 +30,7 @@
     hello->reserves_slots = true;
 }
 
-static void unlist_all(QRSidecar *s)
+static void mark_all_unlisted(QRSidecar *s)
 {
     GHashTableIter it;
     void *value;
@@ -39,42 +41,42 @@
 }
 
 /* Asks a gateway to tell us what it hears. */
-static void follow(QRSidecar *s, QRPeerConn *peer)
+static void follow_gateway(QRSidecar *s, QRPeerConn *peer)
 {
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__Hello hello = QR__FLEET__HELLO__INIT;
 
-    peer_greet(s, &frame, &hello);
+    peer_fill_hello(s, &frame, &hello);
     hello.follow = true;
     frame.body_case = QR__FLEET__FRAME__BODY_HELLO;
     frame.hello = &hello;
-    s->followed = peer;
+    s->followed_gateway = peer;
     qr_peer_care(peer, QR_PEER_HEARS);
-    unlist_all(s); /* it will say who is there */
+    mark_all_unlisted(s); /* it will say who is there */
     qr_peer_send(peer, &frame);
 }
 
-static void state_fill(const QRSidecar *s, Qr__Fleet__EngineState *state)
+static void fill_state(const QRSidecar *s, Qr__Fleet__EngineState *state)
 {
     state->engine_address = s->set->engine;
     state->model = s->model ? s->model : (char *)"";
     state->serving = s->report.version;
-    state->held = qr_sidecar_held(s);
+    state->held = qr_sidecar_held_version(s);
     state->switching = s->switching;
-    state->slow_link = s->slow_told;
+    state->slow_link = s->reported_slow_link;
     state->reachable = s->reachable;
     state->born_ms = s->report.born_ms;
     state->name = s->set->host;
 }
 
-static void state_send(QRSidecar *s, QRPeerConn *peer)
+static void send_state(QRSidecar *s, QRPeerConn *peer)
 {
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__EngineState state = QR__FLEET__ENGINE_STATE__INIT;
     const QRFleetMember *member = qr_peer_data(peer);
     QRSlotLoad others;
 
-    state_fill(s, &state);
+    fill_state(s, &state);
     if (member) {
         others = qr_slots_for(&s->slots, member->name, qr_sidecar_now(s));
         state.others_open = others.open;
@@ -85,27 +87,28 @@
     qr_peer_send(peer, &frame);
 }
 
-void qr_sidecar_tell_state(QRSidecar *s, bool news)
+void qr_sidecar_send_state(QRSidecar *s, bool changed)
 {
     uint64_t now = qr_sidecar_now(s);
     bool slow = qr_link_is_slow(s, now);
 
-    if (slow != s->slow_told) {
+    if (slow != s->reported_slow_link) {
         qr_logf(QR_LEVEL_INFO, "weights", "link %s window=%.0f",
-                slow ? "slow" : "as usual", s->window);
-        s->slow_told = slow;
+                slow ? "slow" : "as usual", s->piece_window);
+        s->reported_slow_link = slow;
         if (slow)
             qr_upload_decline(s);
-        news = true;
+        changed = true;
     }
-    if (!s->report_ms || (!news && now < s->state_ms + STATE_MS))
+    if (!s->report_ms ||
+        (!changed && now < s->state_sent_ms + STATE_INTERVAL_MS))
         return;
-    s->state_ms = now;
+    s->state_sent_ms = now;
     for (unsigned i = 0; i < s->gateways->len; i++)
-        state_send(s, s->gateways->pdata[i]);
+        send_state(s, s->gateways->pdata[i]);
 }
 
-static void heard_of(QRSidecar *s, const QRFleetMember *member)
+static void dial_if_gateway(QRSidecar *s, const QRFleetMember *member)
 {
     if (strcmp(member->role, QR_ROLE_GATEWAY) == 0)
         qr_peers_dial(s->peers, member->address);
@@ -114,7 +117,7 @@
 static void peer_hello(QRSidecar *s, QRPeerConn *peer,
                        const Qr__Fleet__Hello *h)
 {
-    QRFleetMember *news =
+    QRFleetMember *changed =
         qr_members_hello(&s->members, h, true, qr_sidecar_now(s));
     QRFleetMember *member = qr_members_get(&s->members, h->name);
 
@@ -122,8 +125,8 @@
     qr_peer_set_far(peer, g_strcmp0(h->region, s->set->region) != 0);
     if (member && !qr_peer_dialled(peer))
         qr_peer_close_older(peer);
-    if (news)
-        heard_of(s, news);
+    if (changed)
+        dial_if_gateway(s, changed);
     if (!member || strcmp(member->role, QR_ROLE_GATEWAY) != 0 ||
         !qr_peer_dialled(peer) || g_ptr_array_find(s->gateways, peer, NULL))
         return;
@@ -131,7 +134,7 @@
     g_ptr_array_add(s->gateways, peer);
     qr_peer_care(peer, QR_PEER_TELLS);
     if (s->report_ms)
-        state_send(s, peer);
+        send_state(s, peer);
 }
 
 /*
@@ -158,11 +161,11 @@
 static void peer_members(QRSidecar *s, const Qr__Fleet__Members *list)
 {
     for (size_t i = 0; i < list->n_members; i++) {
-        QRFleetMember *news = qr_members_hello(&s->members, list->members[i],
-                                               false, qr_sidecar_now(s));
+        QRFleetMember *changed = qr_members_hello(&s->members, list->members[i],
+                                                  false, qr_sidecar_now(s));
 
-        if (news)
-            heard_of(s, news);
+        if (changed)
+            dial_if_gateway(s, changed);
         member_listed(s, list->members[i]);
     }
 }
@@ -208,8 +211,8 @@
     if (!member)
         return;
     qr_members_heard(member, qr_sidecar_now(s));
-    if (peer == s->followed)
-        s->told_ms = qr_sidecar_now(s);
+    if (peer == s->followed_gateway)
+        s->gateway_heard_ms = qr_sidecar_now(s);
     switch (frame->body_case) {
     case QR__FLEET__FRAME__BODY_MEMBERS:
         peer_members(s, frame->members);
@@ -240,8 +243,8 @@
     QRFleetMember *member = qr_peer_data(peer);
 
     g_ptr_array_remove_fast(s->gateways, peer);
-    if (s->followed == peer) {
-        s->followed = NULL;
+    if (s->followed_gateway == peer) {
+        s->followed_gateway = NULL;
         qr_peer_care(peer, QR_PEER_TELLS);
     }
     if (member && strcmp(member->role, QR_ROLE_GATEWAY) == 0) {
@@ -251,27 +254,27 @@
     qr_weights_peer_closed(s, peer);
 }
 
-const QRPeerHandlers qr_sidecar_peer_handlers = {peer_greet, peer_frame,
+const QRPeerHandlers qr_sidecar_peer_handlers = {peer_fill_hello, peer_frame,
                                                  peer_closed};
 
 /* One gateway is followed: of our own zone if there is one. */
 void qr_sidecar_peers_tick(QRSidecar *s)
 {
-    QRPeerConn *best = NULL;
+    QRPeerConn *chosen = NULL;
 
-    if (s->followed)
+    if (s->followed_gateway)
         return;
     for (unsigned i = 0; i < s->gateways->len; i++) {
         const QRFleetMember *m = qr_peer_data(s->gateways->pdata[i]);
 
-        if (!best || g_strcmp0(m->zone, s->set->availability_zone) == 0)
-            best = s->gateways->pdata[i];
+        if (!chosen || g_strcmp0(m->zone, s->set->availability_zone) == 0)
+            chosen = s->gateways->pdata[i];
     }
-    if (best)
-        follow(s, best);
+    if (chosen)
+        follow_gateway(s, chosen);
 }
 
-QRPeerConn *qr_sidecar_peer_at(QRSidecar *s, const char *address)
+QRPeerConn *qr_sidecar_open_peer(QRSidecar *s, const char *address)
 {
     return qr_peers_open_at(s->peers, address);
 }
--- a/src/sidecar/qr_sources.c
+++ b/src/sidecar/qr_sources.c
@@ -6,20 +6,21 @@
 #include <math.h>
 #include <string.h>
 
-#define ATTEMPTS_LEAST 5 /* before all go to the origin themselves */
+#define ATTEMPTS_MIN 5 /* before all go to the origin themselves */
 /* One root for so many connections of the origin: the rest is for sidecars
  * whose sources failed, and for connections that linger. */
-#define CONNECTIONS_A_ROOT 3
+#define CONNECTIONS_PER_ROOT 3
 #define ROOTS_DEFAULT 8
-#define GROUPS_A_RELAY 2 /* groups that pass a piece on, see relay_group() */
-#define HOLDERS_SHARE 2  /* one in so many of a region: all ask holders */
+#define GROUPS_PER_RELAY 2 /* groups that pass a piece on, see relay_group()   \
+                            */
+#define HOLDERS_FRACTION 2 /* one in so many of a region: all ask holders */
 
 typedef struct OrderKey {
     char text[QR_NAME_MAX + 48];
 } OrderKey;
 
 /* Those whose engines leave come last. */
-static int by_weight(const void *a, const void *b, void *key)
+static int compare_rank(const void *a, const void *b, void *key)
 {
     const QRFleetMember *m = *(const QRFleetMember *const *)a;
     const QRFleetMember *n = *(const QRFleetMember *const *)b;
@@ -37,9 +38,9 @@
                          uint64_t version, unsigned pieces)
 {
     unsigned roots = origin_connections
-                         ? origin_connections / CONNECTIONS_A_ROOT
+                         ? origin_connections / CONNECTIONS_PER_ROOT
                          : ROOTS_DEFAULT;
-    unsigned staying = 0, staying_near = 0;
+    unsigned staying = 0, staying_local = 0;
     OrderKey key;
 
     g_snprintf(key.text, sizeof(key.text), "%s/%" G_GUINT64_FORMAT, model,
@@ -47,50 +48,50 @@
     plan->self = self;
     plan->region = region;
     plan->pieces = pieces;
-    plan->place = 0;
+    plan->rank = 0;
     plan->all = g_ptr_array_new();
-    plan->near = g_ptr_array_new();
+    plan->local = g_ptr_array_new();
     plan->holders = g_ptr_array_new();
-    plan->near_holders = g_ptr_array_new();
+    plan->local_holders = g_ptr_array_new();
     for (unsigned i = 0; i < members->len; i++) {
         const QRFleetMember *m = members->pdata[i];
 
         g_ptr_array_add(plan->all, members->pdata[i]);
         staying += !m->leaving;
-        staying_near += !m->leaving && g_strcmp0(m->region, region) == 0;
+        staying_local += !m->leaving && g_strcmp0(m->region, region) == 0;
     }
     plan->roots = MIN(MAX(roots, 1), staying ? staying : members->len);
-    plan->relays = staying_near;
-    g_ptr_array_sort_with_data(plan->all, by_weight, &key);
+    plan->relays = staying_local;
+    g_ptr_array_sort_with_data(plan->all, compare_rank, &key);
     for (unsigned i = 0; i < plan->all->len; i++) {
         QRFleetMember *m = plan->all->pdata[i];
-        bool is_near = g_strcmp0(m->region, region) == 0;
+        bool is_local = g_strcmp0(m->region, region) == 0;
         bool holds = m->held == version && strcmp(m->name, self) != 0 &&
                      g_strcmp0(m->model, model) == 0;
 
-        if (is_near && strcmp(m->name, self) == 0)
-            plan->place = plan->near->len;
-        if (is_near)
-            g_ptr_array_add(plan->near, m);
+        if (is_local && strcmp(m->name, self) == 0)
+            plan->rank = plan->local->len;
+        if (is_local)
+            g_ptr_array_add(plan->local, m);
         holds = holds && !m->leaving;
         if (holds)
             g_ptr_array_add(plan->holders, m);
-        if (holds && is_near)
-            g_ptr_array_add(plan->near_holders, m);
+        if (holds && is_local)
+            g_ptr_array_add(plan->local_holders, m);
     }
 }
 
 void qr_source_plan_clear(QRSourcePlan *plan)
 {
     g_clear_pointer(&plan->all, g_ptr_array_unref);
-    g_clear_pointer(&plan->near, g_ptr_array_unref);
+    g_clear_pointer(&plan->local, g_ptr_array_unref);
     g_clear_pointer(&plan->holders, g_ptr_array_unref);
-    g_clear_pointer(&plan->near_holders, g_ptr_array_unref);
+    g_clear_pointer(&plan->local_holders, g_ptr_array_unref);
 }
 
-static const QRFleetMember *at_place(const GPtrArray *list, uint64_t place)
+static const QRFleetMember *member_at_rank(const GPtrArray *list, uint64_t rank)
 {
-    return list->len > 0 ? list->pdata[place % list->len] : NULL;
+    return list->len > 0 ? list->pdata[rank % list->len] : NULL;
 }
 
 static bool is_self(const QRSourcePlan *plan, const QRFleetMember *m)
@@ -100,34 +101,34 @@
 
 /* Who passes the piece into our region if we are its relay; NULL: the origin.
  */
-static const QRFleetMember *source_root(const QRSourcePlan *plan,
+static const QRFleetMember *choose_root(const QRSourcePlan *plan,
                                         uint32_t index, unsigned tried)
 {
-    uint64_t place = (uint64_t)index + tried;
+    uint64_t rank = (uint64_t)index + tried;
     bool is_manifest = index == QR_MANIFEST_INDEX;
     const QRFleetMember *root;
 
-    if (!is_manifest && plan->near_holders->len > 0)
-        return at_place(plan->near_holders, place);
+    if (!is_manifest && plan->local_holders->len > 0)
+        return member_at_rank(plan->local_holders, rank);
     if (!is_manifest && plan->holders->len > 0)
-        return at_place(plan->holders, place);
+        return member_at_rank(plan->holders, rank);
     if (plan->roots == 0)
         return NULL;
-    root = plan->all->pdata[place % plan->roots];
+    root = plan->all->pdata[rank % plan->roots];
     return is_self(plan, root) ? NULL : root;
 }
 
 /* Engines that leave have no relays beside them, if others stay. */
 static unsigned relay_count(const QRSourcePlan *plan)
 {
-    return plan->relays ? plan->relays : plan->near->len;
+    return plan->relays ? plan->relays : plan->local->len;
 }
 
-static const QRFleetMember *relay_at(const QRSourcePlan *plan, uint64_t place)
+static const QRFleetMember *relay_at(const QRSourcePlan *plan, uint64_t rank)
 {
     unsigned n = relay_count(plan);
 
-    return n > 0 ? plan->near->pdata[place % n] : NULL;
+    return n > 0 ? plan->local->pdata[rank % n] : NULL;
 }
 
 /*
@@ -150,19 +151,19 @@
 
     if (left == 0 || index == QR_MANIFEST_INDEX || index < pieces - left)
         return (RelayGroup){relays, index % relays, 1};
-    count = MIN(GROUPS_A_RELAY * relays / left, (unsigned)sqrt(relays));
+    count = MIN(GROUPS_PER_RELAY * relays / left, (unsigned)sqrt(relays));
     return (RelayGroup){relays, (index - (pieces - left)) * count % relays,
                         count};
 }
 
-static bool is_in_group(const RelayGroup *g, unsigned place)
+static bool is_in_group(const RelayGroup *g, unsigned rank)
 {
-    return place < g->relays &&
-           (place + g->relays - g->first) % g->relays < g->count;
+    return rank < g->relays &&
+           (rank + g->relays - g->first) % g->relays < g->count;
 }
 
 /* Whether this sidecar is one of the relays of the piece. */
-static bool passes_on(const QRSourcePlan *plan, uint32_t index)
+static bool is_group_relay(const QRSourcePlan *plan, uint32_t index)
 {
     unsigned n = relay_count(plan);
     RelayGroup group;
@@ -170,12 +171,13 @@
     if (n == 0)
         return false;
     group = relay_group(plan->pieces, n, index);
-    return is_in_group(&group, plan->place);
+    return is_in_group(&group, plan->rank);
 }
 
 /* The relay from which this sidecar draws the piece; itself if it is the first
    of the group. */
-static const QRFleetMember *relay_of(const QRSourcePlan *plan, uint32_t index)
+static const QRFleetMember *default_relay(const QRSourcePlan *plan,
+                                          uint32_t index)
 {
     unsigned n = relay_count(plan);
     RelayGroup group;
@@ -183,29 +185,29 @@
     if (n == 0)
         return NULL;
     group = relay_group(plan->pieces, n, index);
-    if (is_in_group(&group, plan->place))
+    if (is_in_group(&group, plan->rank))
         return relay_at(plan, group.first);
-    return relay_at(plan, group.first + plan->place % group.count);
+    return relay_at(plan, group.first + plan->rank % group.count);
 }
 
 /* Each of the region, or each root, gave nothing. */
 static bool is_exhausted(const QRSourcePlan *plan, QRSourceAttempts tried)
 {
-    return tried.relays >= MAX(plan->near->len, ATTEMPTS_LEAST) ||
-           tried.roots >= MAX(plan->roots, ATTEMPTS_LEAST);
+    return tried.relays >= MAX(plan->local->len, ATTEMPTS_MIN) ||
+           tried.roots >= MAX(plan->roots, ATTEMPTS_MIN);
 }
 
 /* The relay that we ask for the piece; NULL: we are one that asks a root. */
-static const QRFleetMember *relay_to_ask(const QRSourcePlan *plan,
+static const QRFleetMember *choose_relay(const QRSourcePlan *plan,
                                          uint32_t index, unsigned tried,
                                          QRPieceRole role)
 {
     const QRFleetMember *relay = tried == 0
-                                     ? relay_of(plan, index)
+                                     ? default_relay(plan, index)
                                      : relay_at(plan, (uint64_t)index + tried);
 
-    if (!relay || is_self(plan, relay) || role == QR_PIECE_FIRST ||
-        (role == QR_PIECE_RELAY && !passes_on(plan, index)))
+    if (!relay || is_self(plan, relay) || role == QR_PIECE_ROLE_FIRST_RELAY ||
+        (role == QR_PIECE_ROLE_RELAY && !is_group_relay(plan, index)))
         return NULL;
     return relay;
 }
@@ -215,28 +217,29 @@
 {
     /* holders are asked each by others, by the asker's name */
     uint64_t turn = qr_hash_str(plan->self, 0) % 1024 + index + tried.relays;
-    const QRPieceSource origin = {NULL, QR_PIECE_OWN};
-    const QRFleetMember *root = source_root(plan, index, tried.roots);
+    const QRPieceSource origin = {NULL, QR_PIECE_ROLE_NONE};
+    const QRFleetMember *root = choose_root(plan, index, tried.roots);
     const QRFleetMember *relay;
 
-    if (!root || role == QR_PIECE_ROOT || is_exhausted(plan, tried))
+    if (!root || role == QR_PIECE_ROLE_ROOT || is_exhausted(plan, tried))
         return origin;
     /* the first holders alone could not send to all the others */
     if (index != QR_MANIFEST_INDEX &&
-        plan->near_holders->len * HOLDERS_SHARE >= plan->near->len)
-        return (QRPieceSource){at_place(plan->near_holders, turn),
-                               QR_PIECE_RELAY};
-    relay = relay_to_ask(plan, index, tried.relays, role);
+        plan->local_holders->len * HOLDERS_FRACTION >= plan->local->len)
+        return (QRPieceSource){member_at_rank(plan->local_holders, turn),
+                               QR_PIECE_ROLE_RELAY};
+    relay = choose_relay(plan, index, tried.relays, role);
     if (!relay)
-        return (QRPieceSource){root, QR_PIECE_ROOT};
-    return (QRPieceSource){relay, passes_on(plan, index) ? QR_PIECE_FIRST
-                                                         : QR_PIECE_RELAY};
+        return (QRPieceSource){root, QR_PIECE_ROLE_ROOT};
+    return (QRPieceSource){relay, is_group_relay(plan, index)
+                                      ? QR_PIECE_ROLE_FIRST_RELAY
+                                      : QR_PIECE_ROLE_RELAY};
 }
 
 bool qr_source_is_relay(const QRSourcePlan *plan, uint32_t index,
                         const QRFleetMember *member)
 {
-    unsigned relays = 0, place = 0;
+    unsigned relays = 0, rank = 0;
     RelayGroup group;
 
     for (unsigned i = 0; i < plan->all->len; i++) {
@@ -245,16 +248,16 @@
         if (m->leaving || g_strcmp0(m->region, member->region) != 0)
             continue;
         if (m == member)
-            place = relays;
+            rank = relays;
         relays++;
     }
     if (relays == 0 || member->leaving)
         return false;
     group = relay_group(plan->pieces, relays, index);
-    return is_in_group(&group, place);
+    return is_in_group(&group, rank);
 }
 
-unsigned qr_source_place(const QRSourcePlan *plan, const char *name)
+unsigned qr_source_rank(const QRSourcePlan *plan, const char *name)
 {
     for (unsigned i = 0; i < plan->all->len; i++) {
         const QRFleetMember *m = plan->all->pdata[i];
@@ -265,13 +268,13 @@
     return plan->all->len;
 }
 
-uint64_t qr_switch_at(const QRSourcePlan *plan, uint64_t first_ms,
-                      uint64_t last_ms)
+uint64_t qr_switch_time_ms(const QRSourcePlan *plan, uint64_t first_ms,
+                           uint64_t last_ms)
 {
     unsigned n = plan->all->len;
-    unsigned place = qr_source_place(plan, plan->self);
+    unsigned rank = qr_source_rank(plan, plan->self);
 
     if (n < 2 || last_ms <= first_ms)
         return first_ms;
-    return first_ms + (last_ms - first_ms) * place / (n - 1);
+    return first_ms + (last_ms - first_ms) * rank / (n - 1);
 }
--- a/src/sidecar/qr_sources.h
+++ b/src/sidecar/qr_sources.h
@@ -24,11 +24,11 @@
 /* The sidecars of one service, in the order for one version. */
 typedef struct QRSourcePlan {
     const char *self, *region;
-    GPtrArray *all, *near;             /* QRFleetMember *: all, of the region */
-    GPtrArray *holders, *near_holders; /* those that hold the version */
+    GPtrArray *all, *local; /* QRFleetMember *: all, of the region */
+    GPtrArray *holders, *local_holders; /* those that hold the version */
     unsigned roots;  /* the first of 'all' that draw from the origin */
     unsigned relays; /* the first of 'near' whose engines do not leave */
-    unsigned place;  /* of this sidecar in 'near' */
+    unsigned rank;   /* of this sidecar in 'near' */
     unsigned pieces; /* of the version; 0: not known */
 } QRSourcePlan;
 
@@ -46,10 +46,10 @@
  * the first one from a root, and who is asked as a root from the origin.
  */
 typedef enum QRPieceRole {
-    QR_PIECE_OWN, /* nobody asked */
-    QR_PIECE_RELAY,
-    QR_PIECE_FIRST,
-    QR_PIECE_ROOT,
+    QR_PIECE_ROLE_NONE, /* nobody asked */
+    QR_PIECE_ROLE_RELAY,
+    QR_PIECE_ROLE_FIRST_RELAY,
+    QR_PIECE_ROLE_ROOT,
 } QRPieceRole;
 
 typedef struct QRPieceSource {
@@ -78,13 +78,13 @@
                         const QRFleetMember *member);
 
 /* The place of a sidecar in the order; the first switch first. */
-unsigned qr_source_place(const QRSourcePlan *plan, const char *name);
+unsigned qr_source_rank(const QRSourcePlan *plan, const char *name);
 
 /*
  * When this sidecar's engine starts a version: sidecars follow one another
  * over the time between 'first_ms' and 'last_ms', by their place.
  */
-uint64_t qr_switch_at(const QRSourcePlan *plan, uint64_t first_ms,
-                      uint64_t last_ms);
+uint64_t qr_switch_time_ms(const QRSourcePlan *plan, uint64_t first_ms,
+                           uint64_t last_ms);
 
 #endif
--- a/src/sidecar/qr_stage.c
+++ b/src/sidecar/qr_stage.c
@@ -37,7 +37,7 @@
     p->verified_ms = qr_sidecar_now(t->sidecar);
     if (right && !p->data) {
         p->data = g_bytes_new(a->data, a->len);
-        t->held++;
+        t->held_pieces++;
         qr_piece_came(t, index);
     }
 }
@@ -50,10 +50,10 @@
     p->stage = NULL;
     if (a->status == 0) { /* no answer: what lies there is not known */
         p->verified = false;
-        p->staged = p->reading && p->staged;
+        p->staged = p->stage_is_read && p->staged;
         return;
     }
-    if (p->reading) {
+    if (p->stage_is_read) {
         piece_read_back(t, index, a);
         return;
     }
@@ -79,8 +79,8 @@
     r.body_len = len;
     r.connect_ms = CONNECT_MS;
     r.timeout_ms = STAGE_TIMEOUT_MS;
-    p->reading = !put;
-    p->stage = qr_whole_send(s->to_engine, &r, stage_done, t, index);
+    p->stage_is_read = !put;
+    p->stage = qr_whole_send(s->engine_client, &r, stage_done, t, index);
     if (put)
         s->staged_version = t->version;
 }
@@ -189,7 +189,7 @@
     if (a->status == 202 || a->status == 200 || a->status == 0)
         return; /* without an answer it may have been taken: the report tells */
     s->switching = false;
-    qr_sidecar_tell_state(s, true);
+    qr_sidecar_send_state(s, true);
 }
 
 /*
@@ -203,7 +203,7 @@
     s->switching = true;
     s->announced_ms = now_ms;
     s->report_next_ms = MIN(s->report_next_ms, now_ms + ANNOUNCED_MS);
-    qr_sidecar_tell_state(s, true);
+    qr_sidecar_send_state(s, true);
 }
 
 /* Whether gateways still send calls to the engine, for the version it has. */
@@ -245,7 +245,7 @@
     r.timeout_ms = ORDER_TIMEOUT_MS;
     s->announced_ms = 0;
     s->ordered_version = t->version;
-    s->order_call = qr_whole_send(s->to_engine, &r, order_done, s, 0);
+    s->order_call = qr_whole_send(s->engine_client, &r, order_done, s, 0);
 }
 
 /* An engine that is of no use as it is starts at once; the others in turn. */
@@ -255,11 +255,12 @@
     g_auto(QRSourcePlan) plan = {0};
     uint64_t bound = (uint64_t)s->set->version_ms;
 
-    if (!is_in_use(s, now_ms) || t->since_ms == 0)
+    if (!is_in_use(s, now_ms) || t->named_ms == 0)
         return 0;
     qr_sidecar_plan(s, t->version, &plan);
-    return qr_switch_at(&plan, t->since_ms + MIN(SWITCH_LEAD_MS, bound / 3),
-                        t->since_ms + bound - MIN(bound, SWITCH_MARGIN_MS));
+    return qr_switch_time_ms(
+        &plan, t->named_ms + MIN(SWITCH_LEAD_MS, bound / 3),
+        t->named_ms + bound - MIN(bound, SWITCH_MARGIN_MS));
 }
 
 /*
@@ -275,7 +276,7 @@
 
         if (!t->pieces || qr_sidecar_serves(s, t->version))
             continue;
-        if (!chosen || qr_target_whole(t))
+        if (!chosen || qr_target_is_complete(t))
             chosen = t;
     }
     return chosen;
--- a/src/sidecar/qr_uploads.c
+++ b/src/sidecar/qr_uploads.c
@@ -80,7 +80,7 @@
     if (to && (g_strcmp0(to->region, s->set->region) != 0 ||
                qr_source_is_relay(&plan, w->index, to)))
         return 0;
-    place = to ? qr_source_place(&plan, to->name) : plan.all->len;
+    place = to ? qr_source_rank(&plan, to->name) : plan.all->len;
     return 1 + place_of_target(s, w->target) * (GROUPS + 1) +
            place * GROUPS / MAX(plan.all->len, 1);
 }
@@ -91,8 +91,8 @@
     QRWaiter *w = g_memdup2(waiter, sizeof(*waiter));
     GList *at = s->uploads.head;
 
-    w->order = upload_order(s, w);
-    while (at && ((QRWaiter *)at->data)->order <= w->order)
+    w->upload_number = upload_order(s, w);
+    while (at && ((QRWaiter *)at->data)->upload_number <= w->upload_number)
         at = at->next;
     g_queue_insert_before(&s->uploads, at, w);
 }
@@ -105,8 +105,8 @@
 
 static bool is_on_its_way(const QRSidecar *s, const QRPeerConn *peer)
 {
-    for (unsigned i = 0; i < s->sent->len; i++) {
-        if (g_array_index(s->sent, Sent, i).peer == peer)
+    for (unsigned i = 0; i < s->unconfirmed_uploads->len; i++) {
+        if (g_array_index(s->unconfirmed_uploads, Sent, i).peer == peer)
             return true;
     }
     return false;
@@ -118,7 +118,7 @@
  */
 static QRWaiter *upload_next(QRSidecar *s)
 {
-    if (s->sent->len >= UPLOADS_AT_ONCE)
+    if (s->unconfirmed_uploads->len >= UPLOADS_AT_ONCE)
         return NULL;
     for (GList *l = s->uploads.head; l; l = l->next) {
         QRWaiter *w = l->data;
@@ -136,12 +136,13 @@
 {
     unsigned slow = 0;
 
-    for (unsigned i = s->sent->len; i > 0; i--) {
-        uint64_t sent_ms = g_array_index(s->sent, Sent, i - 1).sent_ms;
+    for (unsigned i = s->unconfirmed_uploads->len; i > 0; i--) {
+        uint64_t sent_ms =
+            g_array_index(s->unconfirmed_uploads, Sent, i - 1).sent_ms;
 
         slow += now_ms > sent_ms + ARRIVED_SLOW_MS;
         if (now_ms > sent_ms + ARRIVED_MOST_MS)
-            g_array_remove_index(s->sent, i - 1);
+            g_array_remove_index(s->unconfirmed_uploads, i - 1);
     }
     if (slow > 1)
         qr_link_note_slow(s, now_ms);
@@ -149,9 +150,9 @@
 
 void qr_upload_taken(QRSidecar *s, const QRPeerConn *peer)
 {
-    for (unsigned i = 0; i < s->sent->len; i++) {
-        if (g_array_index(s->sent, Sent, i).peer == peer) {
-            g_array_remove_index(s->sent, i);
+    for (unsigned i = 0; i < s->unconfirmed_uploads->len; i++) {
+        if (g_array_index(s->unconfirmed_uploads, Sent, i).peer == peer) {
+            g_array_remove_index(s->unconfirmed_uploads, i);
             return;
         }
     }
@@ -184,15 +185,15 @@
                    QR__FLEET__PIECE__STATE__DATA, data);
         qr_pace_sent(&s->upload_pace, g_bytes_get_size(data));
         sent = (Sent){w->peer, now_ms};
-        g_array_append_val(s->sent, sent);
+        g_array_append_val(s->unconfirmed_uploads, sent);
     }
 }
 
 static void sent_drop(QRSidecar *s, const QRPeerConn *peer)
 {
-    for (unsigned i = s->sent->len; i > 0; i--) {
-        if (g_array_index(s->sent, Sent, i - 1).peer == peer)
-            g_array_remove_index(s->sent, i - 1);
+    for (unsigned i = s->unconfirmed_uploads->len; i > 0; i--) {
+        if (g_array_index(s->unconfirmed_uploads, Sent, i - 1).peer == peer)
+            g_array_remove_index(s->unconfirmed_uploads, i - 1);
     }
 }
 
@@ -274,9 +275,10 @@
 static QRPieceRole role_wanted(const Qr__Fleet__Want *want)
 {
     if (want->role == QR__FLEET__WANT__ROLE__ROOT)
-        return QR_PIECE_ROOT;
-    return want->role == QR__FLEET__WANT__ROLE__FIRST ? QR_PIECE_FIRST
-                                                      : QR_PIECE_RELAY;
+        return QR_PIECE_ROLE_ROOT;
+    return want->role == QR__FLEET__WANT__ROLE__FIRST
+               ? QR_PIECE_ROLE_FIRST_RELAY
+               : QR_PIECE_ROLE_RELAY;
 }
 
 /*
@@ -285,14 +287,14 @@
  */
 static void take_over(QRPiece *p, const Qr__Fleet__Want *want)
 {
-    QRSourceAttempts tried = {MAX(p->tried.relays, want->attempt),
-                              MAX(p->tried.roots, want->root_attempt)};
+    QRSourceAttempts tried = {MAX(p->attempts.relays, want->attempt),
+                              MAX(p->attempts.roots, want->root_attempt)};
 
     p->role = MAX(p->role, role_wanted(want));
-    if (p->fetch ||
-        (tried.relays == p->tried.relays && tried.roots == p->tried.roots))
+    if (p->fetch || (tried.relays == p->attempts.relays &&
+                     tried.roots == p->attempts.roots))
         return;
-    p->tried = tried;
+    p->attempts = tried;
     p->asked = p->pending = false;
 }
 
@@ -301,7 +303,7 @@
 static bool is_news(const QRSidecar *s, const Qr__Fleet__Want *want)
 {
     return (!s->model || strcmp(want->model, s->model) == 0) &&
-           want->version > qr_sidecar_newest(s);
+           want->version > qr_sidecar_newest_version(s);
 }
 
 void qr_upload_target_came(QRSidecar *s, QRTarget *t)
@@ -341,7 +343,7 @@
         return;
     }
     /* over a slow link even what we tell gateways would wait behind it */
-    if (p && p->data && s->slow_told) {
+    if (p && p->data && s->reported_slow_link) {
         qr_upload_tell(&w, QR__FLEET__PIECE__STATE__ABSENT);
         return;
     }
--- a/src/sidecar/qr_weights.c
+++ b/src/sidecar/qr_weights.c
@@ -5,7 +5,7 @@
 
 #include <string.h>
 
-#define WINDOW_FIRST 3
+#define WINDOW_INITIAL_PIECES 3
 #define PROGRESS_LOG_MS 1000
 
 static void piece_clear(void *p)
@@ -35,13 +35,13 @@
     qr_logf(QR_LEVEL_INFO, "weights",
             "dropped version=%" G_GUINT64_FORMAT
             " held=%u serving=%" G_GUINT64_FORMAT,
-            t->version, t->held, s->report.version);
+            t->version, t->held_pieces, s->report.version);
     qr_upload_drop(s, t, NULL);
     g_ptr_array_remove(s->targets, t);
 }
 
 /* An older version goes once a newer one is whole, served, or in force. */
-static void drop_overtaken(QRSidecar *s)
+static void drop_superseded(QRSidecar *s)
 {
     uint64_t due = qr_operator_version_due(&s->operator, s->model,
                                            (uint64_t)s->set->version_ms,
@@ -51,8 +51,8 @@
         QRTarget *older = s->targets->pdata[0];
         QRTarget *newer = s->targets->pdata[1];
 
-        if (!qr_target_whole(newer) && !qr_sidecar_serves(s, newer->version) &&
-            older->version >= due)
+        if (!qr_target_is_complete(newer) &&
+            !qr_sidecar_serves(s, newer->version) && older->version >= due)
             return;
         target_drop(s, older);
     }
@@ -62,12 +62,12 @@
  * A version of which nothing has come yet is passed over when a newer one is
  * named: the newer one is as near, and meets the bounds of both.
  */
-static void drop_not_begun(QRSidecar *s)
+static void drop_unstarted(QRSidecar *s)
 {
     for (unsigned i = s->targets->len; i > 0; i--) {
         QRTarget *t = s->targets->pdata[i - 1];
 
-        if (t->held == 0 && !qr_sidecar_serves(s, t->version))
+        if (t->held_pieces == 0 && !qr_sidecar_serves(s, t->version))
             target_drop(s, t);
     }
 }
@@ -78,7 +78,7 @@
     g_clear_pointer(&s->model, g_free);
 }
 
-void qr_weights_retarget(QRSidecar *s)
+void qr_weights_update_targets(QRSidecar *s)
 {
     const QRService *service = qr_sidecar_service(s);
     const char *model = service ? service->engine.model : NULL;
@@ -90,31 +90,31 @@
         s->targets = g_ptr_array_new_with_free_func(target_free);
     if (!named)
         named = &first;
-    if (!model || (s->model && named->version <= qr_sidecar_newest(s)))
+    if (!model || (s->model && named->version <= qr_sidecar_newest_version(s)))
         return;
     if (!s->model)
         s->model = g_strdup(model);
-    drop_not_begun(s);
+    drop_unstarted(s);
     t = g_new0(QRTarget, 1);
     t->sidecar = s;
     t->manifest_piece = g_new0(QRPiece, 1);
     t->version = named->version;
-    t->since_ms = named->since_ms;
+    t->named_ms = named->since_ms;
     t->progress.last_ms = qr_sidecar_now(s);
     g_ptr_array_add(s->targets, t);
     qr_upload_target_came(s, t);
-    if (s->window <= 0)
-        s->window = WINDOW_FIRST;
+    if (s->piece_window <= 0)
+        s->piece_window = WINDOW_INITIAL_PIECES;
     qr_logf(QR_LEVEL_INFO, "weights",
             "target model=%s version=%" G_GUINT64_FORMAT
             " since_ms=%" G_GUINT64_FORMAT " targets=%u",
             s->model, t->version,
-            t->since_ms ? t->progress.last_ms - t->since_ms : 0,
+            t->named_ms ? t->progress.last_ms - t->named_ms : 0,
             s->targets->len);
-    qr_sidecar_tell_state(s, true); /* the engine may hold it already */
+    qr_sidecar_send_state(s, true); /* the engine may hold it already */
 }
 
-bool qr_target_manifest(QRTarget *t, const void *data, size_t len)
+bool qr_target_set_manifest(QRTarget *t, const void *data, size_t len)
 {
     const QRSidecar *s = t->sidecar;
     g_autoptr(QRManifest) m = s->platform->parse_manifest(data, len);
@@ -132,31 +132,32 @@
     return true;
 }
 
-/* The piece whose source was asked longest ago; NULL: none is asked for. */
-static const QRPiece *longest_asked(const QRTarget *t, unsigned *index)
+/* The piece whose source was asked longest ago; NULL: none is asked for.
+ */
+static const QRPiece *longest_waiting_piece(const QRTarget *t, unsigned *index)
 {
-    const QRPiece *longest = NULL;
+    const QRPiece *longest_wait = NULL;
 
     for (unsigned i = 0; i < t->pieces->len; i++) {
         const QRPiece *p = qr_piece(t, i);
 
         if (p->data || !p->asked ||
-            (longest && longest->first_asked_ms <= p->first_asked_ms))
+            (longest_wait && longest_wait->first_asked_ms <= p->first_asked_ms))
             continue;
-        longest = p;
+        longest_wait = p;
         *index = i;
     }
-    return longest;
+    return longest_wait;
 }
 
-static void target_log(QRTarget *t, uint64_t now)
+static void target_log_progress(QRTarget *t, uint64_t now)
 {
     unsigned asked = 0, pending = 0, index = 0;
-    const QRPiece *longest = longest_asked(t, &index);
+    const QRPiece *longest_wait = longest_waiting_piece(t, &index);
 
-    if (now < t->told_ms + PROGRESS_LOG_MS)
+    if (now < t->logged_ms + PROGRESS_LOG_MS)
         return;
-    t->told_ms = now;
+    t->logged_ms = now;
     for (unsigned i = 0; i < t->pieces->len; i++) {
         asked += qr_piece(t, i)->asked;
         pending += qr_piece(t, i)->asked && qr_piece(t, i)->pending;
@@ -166,13 +167,15 @@
             " held=%u of=%u asked=%u pending=%u window=%.0f origin_open=%u "
             "uploads=%u longest=%u from=%s root=%d pending=%d "
             "asked_ago_ms=%" G_GUINT64_FORMAT " relays_tried=%u roots_tried=%u",
-            t->version, t->held, t->pieces->len, asked, pending,
-            t->sidecar->window, qr_pieces_from_origin(t->sidecar),
-            t->sidecar->uploads.length, index, longest ? longest->source : "-",
-            longest && longest->from_root, longest && longest->pending,
-            longest ? now - longest->first_asked_ms : 0,
-            longest ? longest->tried.relays : 0,
-            longest ? longest->tried.roots : 0);
+            t->version, t->held_pieces, t->pieces->len, asked, pending,
+            t->sidecar->piece_window, qr_pieces_from_origin(t->sidecar),
+            t->sidecar->uploads.length, index,
+            longest_wait ? longest_wait->source : "-",
+            longest_wait && longest_wait->from_root,
+            longest_wait && longest_wait->pending,
+            longest_wait ? now - longest_wait->first_asked_ms : 0,
+            longest_wait ? longest_wait->attempts.relays : 0,
+            longest_wait ? longest_wait->attempts.roots : 0);
 }
 
 /* Nothing is drawn of a version that the engine serves and nobody asks for. */
@@ -207,22 +210,22 @@
 {
     QRSidecar *s = t->sidecar;
     g_auto(QRSourcePlan) plan = {0};
-    unsigned turn;
+    unsigned offset;
 
     if (!is_needed(t))
         return;
-    if (t->manifest && (must_scan_first(t) || qr_target_whole(t)))
+    if (t->manifest && (must_scan_first(t) || qr_target_is_complete(t)))
         return;
     qr_sidecar_plan(s, t->version, &plan);
     if (!t->manifest) {
         qr_piece_tick(t, QR_MANIFEST_INDEX, &plan, now);
         return;
     }
-    target_log(t, now);
+    target_log_progress(t, now);
     /* each in an order of its own, so that not all ask one peer at once */
-    turn = (unsigned)qr_hash_str(s->set->host, t->version);
+    offset = (unsigned)qr_hash_str(s->set->host, t->version);
     for (unsigned i = 0; i < t->pieces->len; i++)
-        qr_piece_tick(t, (i + turn % t->pieces->len) % t->pieces->len, &plan,
+        qr_piece_tick(t, (i + offset % t->pieces->len) % t->pieces->len, &plan,
                       now);
 }
 
@@ -230,7 +233,7 @@
 {
     if (!s->model || !s->report_ms)
         return;
-    drop_overtaken(s);
+    drop_superseded(s);
     qr_pieces_rest(s, now_ms);
     qr_pieces_refresh(s, now_ms);
     for (unsigned i = 0; i < s->targets->len; i++)
--- a/tests/unit_sources.c
+++ b/tests/unit_sources.c
@@ -50,7 +50,7 @@
     qr_source_plan_init(&plan, list, self, qr_members_get(m, self)->region,
                         ORIGIN_CONNECTIONS, "m", 2, PIECES);
     return qr_source_choose(&plan, index, (QRSourceAttempts){relays, roots},
-                            QR_PIECE_OWN);
+                            QR_PIECE_ROLE_NONE);
 }
 
 START_TEST(sources_one_copy_from_the_origin)
@@ -141,11 +141,11 @@
 
         g_snprintf(self, sizeof(self), "s%u", i);
         first = source(&m, self, 1, 0, 0);
-        if (!first.from || first.role == QR_PIECE_ROOT)
+        if (!first.from || first.role == QR_PIECE_ROLE_ROOT)
             continue;
         second = source(&m, self, 1, 1, 0);
         ck_assert(second.from != first.from);
-        if (second.role != QR_PIECE_ROOT) {
+        if (second.role != QR_PIECE_ROLE_ROOT) {
             ck_assert_str_eq(second.from->region, first.from->region);
             continue;
         }
@@ -206,7 +206,7 @@
         QRPieceSource at = source(&m, "s0", piece, 0, 0);
 
         ck_assert_ptr_nonnull(at.from); /* nobody reads the origin again */
-        if (at.role == QR_PIECE_ROOT)
+        if (at.role == QR_PIECE_ROLE_ROOT)
             ck_assert_str_eq(at.from->name, "s3");
         at_holder += strcmp(at.from->name, "s3") == 0;
     }
@@ -227,7 +227,7 @@
     for (unsigned piece = 0; piece < 24; piece++) {
         QRPieceSource at = source(&m, "s0", piece, 0, 0);
 
-        ck_assert(at.role != QR_PIECE_ROOT && at.from->held == 2);
+        ck_assert(at.role != QR_PIECE_ROLE_ROOT && at.from->held == 2);
         at_holder += strcmp(at.from->name, "s3") == 0;
     }
     ck_assert_uint_eq(at_holder, 12);
@@ -330,8 +330,8 @@
                             MODEL_PIECES);
         for (unsigned piece = 0; piece < MODEL_PIECES; piece++) {
             QRPieceSource at = qr_source_choose(
-                &plan, piece, (QRSourceAttempts){0, 0}, QR_PIECE_OWN);
-            bool is_near = at.from && at.role != QR_PIECE_ROOT;
+                &plan, piece, (QRSourceAttempts){0, 0}, QR_PIECE_ROLE_NONE);
+            bool is_near = at.from && at.role != QR_PIECE_ROLE_ROOT;
 
             from[i][piece] = is_near ? (unsigned)atoi(at.from->name + 1) : i;
             sends[from[i][piece]] += is_near;
@@ -400,7 +400,7 @@
         g_snprintf(away, sizeof(away), "s%u", late);
         for (unsigned i = 0; i < SIDECARS * PIECES; i++) {
             char self[16];
-            QRPieceRole role = QR_PIECE_OWN;
+            QRPieceRole role = QR_PIECE_ROLE_NONE;
             unsigned hops = 0;
 
             g_snprintf(self, sizeof(self), "s%u", i % SIDECARS);
@@ -438,7 +438,7 @@
         g_snprintf(self, sizeof(self), "s%u", i);
         qr_source_plan_init(&plan, list, self, "r0", ORIGIN_CONNECTIONS, "m", 2,
                             PIECES);
-        due = qr_switch_at(&plan, 1000, 1900);
+        due = qr_switch_time_ms(&plan, 1000, 1900);
         ck_assert(due >= 1000 && due <= 1900);
         at[(due - 1000) / 100]++;
     }
