--- a/src/sidecar/qr_sidecar.c
+++ b/src/sidecar/qr_sidecar.c
@@ -1,22 +1,23 @@
 /*
- * A sidecar's life: start, the passing of time, the engine's report, stop.
+ * The sidecar process: start, timer, engine reports, shutdown.
  */
 #include "qr_sidecar.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_DELAY_MAX_MS 150 /* between two ticks */
+#define TICK_DELAY_MAX_MS 150 /* longer gaps count as a suspension */
 #define TICK_INTERVAL_MS 25
 #define SLOW_TICK_INTERVAL_MS 100
-#define REPORT_INTERVAL_MS 250 /* between two reports while nothing changes */
-#define REPORT_BUSY_INTERVAL_MS 60 /* while the engine switches */
+#define REPORT_INTERVAL_MS 250     /* between report requests when idle */
+#define REPORT_BUSY_INTERVAL_MS 60 /* during a switch */
 #define REPORT_TIMEOUT_MS 800
 #define CONNECT_TIMEOUT_MS 400
 #define STORE_TIMEOUT_MS 800
 #define STORE_LONG_POLL_MS 2000
-/* Without a gateway to tell us: one that starts is reached in well under a
-   second; a version's bound is many. */
+/* Time without a gateway after which the store is read directly. A gateway that
+   starts is reached in well under a second; a version's deadline is many
+   seconds. */
 #define GATEWAY_ABSENT_MS 2000
 
 uint64_t qr_sidecar_now(const QRSidecar *s)
@@ -88,7 +89,7 @@
                 "reports reachable=%d version=%" G_GUINT64_FORMAT
                 " busy=%d sequence=%" G_GUINT64_FORMAT " active=%u",
                 reachable, new->version, new->busy, new->sequence, new->active);
-    /* it started anew: what lies staged must be looked at again */
+    /* the engine restarted: its staged pieces must be listed again */
     if (s->report_ms && (new->sequence < s->report.sequence ||
                          (new->born_ms && s->report.born_ms &&new->born_ms !=
                                               s->report.born_ms)))
@@ -97,7 +98,7 @@
     s->report = *new;
     s->reachable = reachable;
     s->report_ms = MAX(qr_sidecar_now(s), 1);
-    /* a report from before the order says nothing of it */
+    /* a report requested before the order does not reflect the order */
     if (s->switching && !s->announced_ms && !s->order_call && !new->busy &&
         s->report_asked_ms > s->order_answered_ms) {
         s->switching = false;
@@ -131,7 +132,8 @@
     }
     qr_engine_report_clear(&new);
     if (!was_unreadable)
-        qr_logf(QR_LEVEL_WARN, "engine", "unreadable report finding=%s",
+        qr_logf(QR_LEVEL_WARN, "engine",
+                "cannot parse the engine's report finding=%s",
                 (char *)f.lines->pdata[0]);
 }
 
@@ -156,7 +158,7 @@
     QRSidecar *s = owner;
     uint64_t now = qr_sidecar_now(s);
     uint64_t gap = qr_follower_gap_ms(s->operator_follower);
-    /* the gateway that we followed told what it heard as it heard it */
+    /* the followed gateway relayed records as soon as it received them */
     uint64_t age = MIN(gap, now - s->gateway_heard_ms);
 
     if (qr_operator_is_empty(&s->operator))
@@ -173,7 +175,8 @@
 static void operator_rolled_back(void *owner, uint64_t epoch)
 {
     (void)owner;
-    (void)epoch; /* versions that the store has lost stay named */
+    (void)
+        epoch; /* versions named in records that the store lost stay in force */
 }
 
 static void operator_listed(void *owner, GHashTable *keys)
@@ -193,11 +196,12 @@
     operator_record, operator_rolled_back, operator_listed, operator_reached};
 
 /*
- * The gateway that we follow tells us what concerns us. What the store would
- * send is many times as long, and crosses regions: it is read only once we have
- * followed none for a while. One that knows no configuration hears of it from
- * others as soon as any does; were all sidecars to read for themselves then,
- * the store's return would find them all asking for everything.
+ * The followed gateway relays the operator records that concern this sidecar.
+ * The store's reply is many times as long and crosses regions; the store is
+ * read only after GATEWAY_ABSENT_MS without a followed gateway. A gateway
+ * without a configuration does not change this: it receives one from others as
+ * soon as any has it, and if all sidecars read the store themselves, all would
+ * request every record at once when the store returns.
  */
 static void choose_operator_source(QRSidecar *s, uint64_t now)
 {
@@ -210,7 +214,8 @@
         return;
     s->reads_store = reads;
     qr_logf(QR_LEVEL_INFO, "store", "%s alone_ms=%" G_GUINT64_FORMAT,
-            reads ? "read by ourselves" : "heard from a gateway",
+            reads ? "reads operator records from the store"
+                  : "receives operator records from a gateway",
             now - s->followed_until_ms);
     qr_follower_pause(s->operator_follower, !reads);
 }
@@ -224,7 +229,7 @@
     if (gap > 0) {
         qr_logf(QR_LEVEL_WARN, "sidecar", "stood still ms=%" G_GUINT64_FORMAT,
                 gap);
-        return; /* what came meanwhile is read first */
+        return; /* input that arrived meanwhile is handled before any timeout */
     }
     qr_client_tick(s->engine_client, now);
     qr_client_tick(s->origin_client, now);
@@ -260,7 +265,8 @@
 {
     (void)handle;
     (void)signum;
-    qr_logf(QR_LEVEL_INFO, "sidecar", "reload: nothing here may change");
+    qr_logf(QR_LEVEL_INFO, "sidecar",
+            "reload ignored: a sidecar's settings are fixed at start");
 }
 
 static void metrics_request(void *owner, QRExchange *x)
@@ -291,13 +297,13 @@
 {
     (void)owner;
     (void)why;
-    (void)x; /* answered at once */
+    (void)x; /* the exchange was answered in metrics_request() */
 }
 
 static const QRServerHandlers metrics_handlers = {metrics_request,
                                                   metrics_gone};
 
-/* This process stands among the members that sources are chosen from. */
+/* Adds this process to the members from which sources are chosen. */
 static void sidecar_add_self(QRSidecar *s)
 {
     Qr__Fleet__Hello hello = QR__FLEET__HELLO__INIT;
@@ -392,7 +398,7 @@
     sidecar_init(&s, settings_file, set);
     qr_log_start_bounded(set->host, (int)set->log_level);
     qr_log_failures();
-    /* before it listens: who reaches it may also signal it */
+    /* before listening: a process that can connect may also send a signal */
     sidecar_signals(&s);
     s.peers =
         qr_peers_new(s.loop, set->peers, &qr_sidecar_peer_handlers, &s, &err);
--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -1,7 +1,8 @@
 /*
- * A sidecar: one beside each engine. Fetches the weights that are named,
- * stages and checks them, orders the engine to start them, and tells gateways
- * what the engine serves. This header is the state that its parts share.
+ * A sidecar process runs beside each engine. It fetches the weights that the
+ * operator names, stages and verifies them, orders the engine to start them,
+ * and reports to gateways which version the engine serves. This header holds
+ * the state that the sidecar's modules share.
  */
 #ifndef QR_SIDECAR_H
 #define QR_SIDECAR_H
@@ -25,54 +26,55 @@
 
 typedef struct QRSidecar QRSidecar;
 
-/* A piece of a version. */
+/* One piece of a version's weights, or its manifest. */
 typedef struct QRPiece {
-    GBytes *data;         /* checked against its digest, or NULL */
-    bool staged;          /* lies at the engine, as far as we know */
-    bool verified;        /* read back since, and found right */
-    uint64_t verified_ms; /* when that was */
+    GBytes *data;         /* its digest has been verified; or NULL */
+    bool staged;          /* stored at the engine, as far as known */
+    bool verified;        /* read back after staging and found intact */
+    uint64_t verified_ms; /* when it was read back */
     QRSourceAttempts attempts;
-    QRPieceRole role;        /* what those who ask for it take us for */
-    bool uses_role;          /* it is drawn so: waiting for others was vain */
-    bool from_root;          /* the peer asked is a root, else a relay */
-    bool asked;              /* a peer was asked, at 'asked_ms' */
-    bool answered;           /* it answered, with whatever */
-    bool pending;            /* it has none yet, and will tell */
-    uint64_t asked_ms;       /* or when it last said that it is pending */
-    uint64_t first_asked_ms; /* this source */
-    uint64_t dial_ms;        /* since when the peer is dialled for it; 0: not */
+    QRPieceRole role;        /* in which peers ask this sidecar for it */
+    bool uses_role;          /* its source follows 'role': waiting failed */
+    bool from_root;          /* the peer asked is a root, not a relay */
+    bool asked;              /* a peer was asked at 'asked_ms' */
+    bool answered;           /* the peer asked has sent some reply */
+    bool pending;            /* the peer will send a reply once it has it */
+    uint64_t asked_ms;       /* of the request or the last PENDING reply */
+    uint64_t first_asked_ms; /* of the first request to 'source' */
+    uint64_t dial_ms;        /* start of dialling the peer; 0: not dialling */
     char *source;            /* name of the peer asked */
-    const void *asked_conn;  /* its connection; not owned, may be closed */
-    QRWhole *fetch;          /* from the origin */
-    QRWhole *stage;          /* put or read back */
-    bool stage_is_read;      /* 'stage' reads */
+    const void *asked_conn;  /* connection to it; not owned, may be closed */
+    QRWhole *fetch;          /* request to the origin, or NULL */
+    QRWhole *stage;          /* request to the engine, or NULL */
+    bool stage_is_read;      /* 'stage' reads the piece back */
 } QRPiece;
 
 /*
- * A version that this sidecar brings here. A newer one may be named while the
- * older one is on its way; each has its own bound, so both go on.
+ * A version that this sidecar fetches. A newer version may be named while an
+ * older one is being fetched; each version has its own deadline, so the fetch
+ * of the older one continues.
  */
 typedef struct QRTarget {
     QRSidecar *sidecar;
     uint64_t version;
-    uint64_t named_ms;       /* when it was named; 0: long ago */
-    QRManifest *manifest;    /* NULL: not here yet */
-    QRPiece *manifest_piece; /* its bytes, and how they are drawn; owned */
+    uint64_t named_ms;       /* when it was named; 0: age not known */
+    QRManifest *manifest;    /* NULL: not fetched yet */
+    QRPiece *manifest_piece; /* state of fetching the manifest; owned */
     GArray *pieces;          /* QRPiece; NULL without a manifest */
-    unsigned held_pieces;    /* pieces here */
+    unsigned held_pieces;    /* number of pieces in memory */
     QRProgress progress;
-    uint64_t logged_ms; /* when its progress was last logged */
+    uint64_t logged_ms; /* when the progress was last logged */
     bool scanning;
-    bool scanned; /* what lay at the engine was looked at */
+    bool scanned; /* pieces stored at the engine have been listed */
 } QRTarget;
 
-/* A peer that waits for a piece. */
+/* A peer's request for a piece. */
 typedef struct QRWaiter {
     QRPeerConn *peer;
-    QRTarget *target; /* NULL: its version has not been heard of here yet */
+    QRTarget *target; /* NULL: this sidecar does not know 'version' yet */
     uint64_t version;
     uint32_t index;
-    unsigned upload_number; /* among those whose pieces are to be sent */
+    unsigned upload_priority; /* lowest is sent first */
 } QRWaiter;
 
 struct QRSidecar {
@@ -85,11 +87,11 @@
     QRClient *engine_client, *origin_client, *store_client;
     QRFollower *operator_follower;
     QRPeerNet *peers;
-    QRPeerConn *followed_gateway; /* the gateway that tells us what it hears */
-    uint64_t followed_until_ms; /* until when one was followed, or the start */
-    uint64_t gateway_heard_ms;  /* when it last said anything */
-    bool reads_store;           /* we read the operator's records ourselves */
-    GPtrArray *gateways;        /* QRPeerConn *: dialled and open */
+    QRPeerConn *followed_gateway; /* it relays operator records and members */
+    uint64_t followed_until_ms; /* when a gateway was last followed, or start */
+    uint64_t gateway_heard_ms;  /* when that gateway last sent a frame */
+    bool reads_store;           /* operator records are read from the store */
+    GPtrArray *gateways;        /* QRPeerConn *: open, dialled by this side */
     QRServer *metrics;
     uv_timer_t timer;
     QRTicks ticks;
@@ -97,7 +99,7 @@
     uint64_t incarnation, slow_tick_ms, state_sent_ms;
     /* the engine */
     QREngineReport report;
-    bool report_unreadable; /* the last one; told once */
+    bool report_unreadable; /* the last one; logged once in a row */
     bool reachable;         /* the engine answered its last report */
     uint64_t report_ms, report_next_ms, report_asked_ms;
     QRWhole *report_call;
@@ -105,44 +107,46 @@
     /* weights */
     char *model;
     GPtrArray *targets; /* QRTarget *, older first; the last is the newest */
-    uint64_t staged_version;  /* that we last put at the engine; 0: not known */
-    uint64_t staging_version; /* whose turn it is to be staged */
-    GArray *waiters;          /* QRWaiter: their pieces are not here yet */
-    GQueue uploads; /* QRWaiter *: pieces to send, first asked first */
-    GArray *unconfirmed_uploads; /* pieces sent that have not arrived yet */
+    uint64_t staged_version;  /* last put at the engine; 0: not known */
+    uint64_t staging_version; /* version that is being staged */
+    GArray *waiters;          /* QRWaiter: for pieces not held yet */
+    GQueue uploads; /* QRWaiter *: pieces to send, by upload_priority */
+    GArray *unconfirmed_uploads; /* sent, not yet confirmed by the peer */
     QRPace upload_pace;
     uint64_t link_slow_until_ms; /* see qr_link_is_slow() */
-    uint64_t pending_refresh_ms; /* when those who wait here are told so next */
-    uint64_t origin_retry_ms;    /* the origin failed: not asked before */
-    uint64_t origin_used_ms;     /* it last answered; 0: nothing rests open */
-    double piece_window; /* pieces that may be on their way to us at once */
-    /* the order */
+    uint64_t pending_refresh_ms; /* next PENDING reply to the waiters */
+    uint64_t origin_retry_ms;    /* no request to the origin before this time */
+    uint64_t origin_used_ms;     /* last reply of the origin; 0: none idle */
+    double piece_window;         /* limit of pieces requested at once */
+    /* the order to the engine to start a version */
     QRWhole *order_call;
     uint64_t order_next_ms, order_answered_ms;
     uint64_t ordered_version;
-    bool switching;        /* gateways were told that an order is coming, it is
-                              out, or the engine is at work on it */
-    uint64_t announced_ms; /* when gateways were told; 0: no order is coming */
+    bool switching;        /* an order has been announced to gateways, was sent,
+                              or is being executed by the engine */
+    uint64_t announced_ms; /* when gateways were told; 0: no order is due */
     uint64_t origin_bytes, peer_pieces, orders;
-    bool reported_slow_link; /* what gateways were told of that */
+    bool reported_slow_link; /* last link state sent to gateways */
     bool stopped;
 };
 
 uint64_t qr_sidecar_now(const QRSidecar *s);
 const QRService *qr_sidecar_service(const QRSidecar *s);
-/* The order of the sidecars for a version. */
+/* Initializes 'plan', which ranks the sidecars for fetching 'version'. The
+   caller clears it. */
 void qr_sidecar_plan(const QRSidecar *s, uint64_t version, QRSourcePlan *plan);
-/* The newest version named; 0: none is known. */
+/* The newest version named by the operator; 0: none is known. */
 uint64_t qr_sidecar_newest_version(const QRSidecar *s);
-/* Whether the engine serves that version of the model, or a newer one. */
+/* Whether the engine serves 'version' of the model, or a newer one. */
 bool qr_sidecar_serves(const QRSidecar *s, uint64_t version);
-/* The newest version of which all pieces are here or at the engine; 0: none. */
+/* The newest version that is fetched completely or served; 0: none. */
 uint64_t qr_sidecar_held_version(const QRSidecar *s);
 
 /* Weights: targets, their manifests and pieces. */
+/* Adds a target if the operator has named a newer version. */
 void qr_weights_update_targets(QRSidecar *s);
 void qr_weights_tick(QRSidecar *s, uint64_t now_ms);
-/* Sends pieces that peers asked for, no faster than the link may carry. */
+/* Sends pieces that peers asked for, within the link's rate limit. */
 void qr_weights_upload(QRSidecar *s, uint64_t now_ms);
 void qr_weights_want(QRSidecar *s, QRPeerConn *peer,
                      const Qr__Fleet__Want *want);
@@ -150,21 +154,23 @@
                       const Qr__Fleet__Piece *piece);
 void qr_weights_peer_closed(QRSidecar *s, const QRPeerConn *peer);
 void qr_weights_clear(QRSidecar *s);
-/* Takes the manifest's bytes over. Returns false if they are not of it. */
+/* Parses the manifest; 'data' stays with the caller. Returns false if it is
+   invalid or describes another version or model. */
 bool qr_target_set_manifest(QRTarget *t, const void *data, size_t len);
-/* Draws a piece, or the manifest, from where it is to be had, if it is due. */
+/* Requests a piece, or the manifest, from its source if a request is due. */
 void qr_piece_tick(QRTarget *t, uint32_t index, const QRSourcePlan *plan,
                    uint64_t now_ms);
-/* Whether pieces come so slowly that calls to the engine wait behind them. */
+/* Whether pieces arrive so slowly that calls to the engine queue behind them
+   on the link. */
 bool qr_link_is_slow(QRSidecar *s, uint64_t now_ms);
 void qr_link_note_slow(QRSidecar *s, uint64_t now_ms);
-/* Requests to the origin that are under way. */
+/* Number of open requests to the origin. */
 unsigned qr_pieces_from_origin(const QRSidecar *s);
-/* Tells those who wait for a piece that it is here now. */
+/* Tells peers that wait for a piece that it has arrived. */
 void qr_piece_came(QRTarget *t, uint32_t index);
-/* Tells those who wait for pieces that we still see to it. */
+/* Repeats to waiting peers that their pieces are still pending. */
 void qr_pieces_refresh(QRSidecar *s, uint64_t now_ms);
-/* Closes connections to the origin that have rested for a while. */
+/* Closes connections to the origin that have been idle for a while. */
 void qr_pieces_rest(QRSidecar *s, uint64_t now_ms);
 
 static inline bool qr_target_has_index(const QRTarget *t, uint32_t index)
@@ -182,41 +188,45 @@
     return t->pieces && t->held_pieces == t->pieces->len;
 }
 
-/* The target of that version, or NULL. */
+/* Returns the target of the version, or NULL. */
 QRTarget *qr_target_of(const QRSidecar *s, const char *model, uint64_t version);
-/* A target is new: some may wait for it already. */
+/* Assigns a new target to peers that already wait for its version. */
 void qr_upload_target_came(QRSidecar *s, QRTarget *t);
-/* Tells a peer how it stands with the piece that it wants. */
+/* Sends a peer the state of the piece that it asked for. */
 void qr_upload_tell(const QRWaiter *w, Qr__Fleet__Piece__State state);
 /*
- * Tells those that were taken out of the lists (QRWaiter). Sending may close a
- * peer, and whatever waits there is then taken out, too: so nobody is told
- * while a list is walked.
+ * Sends 'state' to waiters that were removed from the lists ('out' holds
+ * QRWaiter). Sending may close a peer, which removes that peer's waiters from
+ * the lists; for that reason no message is sent while a list is iterated.
  */
 void qr_upload_tell_all(const GArray *out, Qr__Fleet__Piece__State state);
-/* Forgets waiters of 'target' or 'peer'; those of a target are told so. */
+/* Removes the waiters of 'target' or 'peer'; those of a target are notified. */
 void qr_upload_drop(QRSidecar *s, const QRTarget *target,
                     const QRPeerConn *peer);
-/* A piece that was sent to 'peer' has arrived there. */
+/* Notes that a piece sent to 'peer' has arrived. */
 void qr_upload_taken(QRSidecar *s, const QRPeerConn *peer);
 GArray *qr_upload_sent_new(void);
-/* Sends those elsewhere who wait for pieces that the engine's stage lacked. */
+/* Redirects peers that wait for pieces missing from the engine's stage. */
 void qr_upload_missing(QRTarget *t);
-/* Sends those who wait for pieces elsewhere: our link is slow. */
+/* Redirects all peers that wait for pieces, because this link is slow. */
 void qr_upload_decline(QRSidecar *s);
 
-/* Staging at the engine, and the order to start. */
+/* Staging of pieces at the engine, and the order to start a version. */
 void qr_stage_tick(QRSidecar *s, uint64_t now_ms);
-/* The engine started anew: what lies there is not known. */
+/* Resets the staging state after a restart of the engine. */
 void qr_stage_forget(QRSidecar *s);
 
-/* Peers. */
+/* Connections to gateways and other sidecars. */
 extern const QRPeerHandlers qr_sidecar_peer_handlers;
+/* Sends the engine's state to all gateways: at once if 'changed', else once per
+   interval. */
 void qr_sidecar_send_state(QRSidecar *s, bool changed);
 void qr_sidecar_peers_tick(QRSidecar *s);
-/* The open connection to a sidecar, dialled if there is none yet; or NULL. */
+/* Returns the open connection to a sidecar. Returns NULL, and dials, if there
+   is none. */
 QRPeerConn *qr_sidecar_open_peer(QRSidecar *s, const char *address);
 
+/* Runs until SIGTERM or SIGINT. Returns the exit status of the process. */
 int qr_sidecar_run(const char *settings_file, QRFleetSettings *set);
 
 #endif
--- a/src/sidecar/qr_sidecar_peers.c
+++ b/src/sidecar/qr_sidecar_peers.c
@@ -1,12 +1,11 @@
 /*
- * What a sidecar says to gateways and to other sidecars, and hears from them.
+ * Messages between a sidecar and gateways or other sidecars.
  */
 #include "qr_sidecar.h"
 
 #include <string.h>
 
-#define STATE_INTERVAL_MS                                                      \
-    1000 /* between two words on the engine that say no changed */
+#define STATE_INTERVAL_MS 1000 /* between reports of an unchanged engine */
 
 static void peer_fill_hello(void *owner, QRFrame *frame,
                             Qr__Fleet__Hello *hello)
@@ -40,7 +39,7 @@
         ((QRFleetMember *)value)->listed = false;
 }
 
-/* Asks a gateway to tell us what it hears. */
+/* Asks a gateway to relay members and operator records to this sidecar. */
 static void follow_gateway(QRSidecar *s, QRPeerConn *peer)
 {
     QRFrame frame = QR__FLEET__FRAME__INIT;
@@ -52,7 +51,7 @@
     frame.hello = &hello;
     s->followed_gateway = peer;
     qr_peer_care(peer, QR_PEER_HEARS);
-    mark_all_unlisted(s); /* it will say who is there */
+    mark_all_unlisted(s); /* the gateway will send the list of members */
     qr_peer_send(peer, &frame);
 }
 
@@ -94,7 +93,7 @@
 
     if (slow != s->reported_slow_link) {
         qr_logf(QR_LEVEL_INFO, "weights", "link %s window=%.0f",
-                slow ? "slow" : "as usual", s->piece_window);
+                slow ? "slow" : "normal", s->piece_window);
         s->reported_slow_link = slow;
         if (slow)
             qr_upload_decline(s);
@@ -138,8 +137,9 @@
 }
 
 /*
- * Which sidecars count is for the gateway that we follow to say, not for our
- * own connections: so all sidecars see the same ones, and agree on the order.
+ * The followed gateway, not this sidecar's own connections, decides which
+ * sidecars are eligible. All sidecars then see the same members and compute the
+ * same ranks.
  */
 static void member_listed(QRSidecar *s, const Qr__Fleet__Hello *h)
 {
@@ -181,7 +181,7 @@
     member->model = g_strdup(state->model);
 }
 
-/* A gateway tells what it holds, and may want one slot more. */
+/* A gateway reports the slots that it holds, and may request another. */
 static void peer_slot_request(QRSidecar *s, QRPeerConn *peer,
                               const char *gateway,
                               const Qr__Fleet__SlotRequest *request)
@@ -257,7 +257,7 @@
 const QRPeerHandlers qr_sidecar_peer_handlers = {peer_fill_hello, peer_frame,
                                                  peer_closed};
 
-/* One gateway is followed: of our own zone if there is one. */
+/* Follows one gateway, preferably in the sidecar's own zone. */
 void qr_sidecar_peers_tick(QRSidecar *s)
 {
     QRPeerConn *chosen = NULL;
--- a/src/sidecar/qr_sources.c
+++ b/src/sidecar/qr_sources.c
@@ -1,25 +1,28 @@
 /*
- * Where a sidecar draws a piece of weights from, and when it switches.
+ * Choice of the source of each piece of weights, and of the switch time.
  */
 #include "qr_sources.h"
 
 #include <math.h>
 #include <string.h>
 
-#define ATTEMPTS_MIN 5 /* before all go to the origin themselves */
-/* One root for so many connections of the origin: the rest is for sidecars
- * whose sources failed, and for connections that linger. */
+#define ATTEMPTS_MIN 5 /* failed sources before using the origin */
+/* There is one root per this many connections that the origin accepts. The
+ * other connections are left for sidecars whose sources failed, and for
+ * connections that are slow to close. */
 #define CONNECTIONS_PER_ROOT 3
 #define ROOTS_DEFAULT 8
-#define GROUPS_PER_RELAY 2 /* groups that pass a piece on, see relay_group()   \
-                            */
-#define HOLDERS_FRACTION 2 /* one in so many of a region: all ask holders */
+#define GROUPS_PER_RELAY                                                       \
+    2 /* groups that pass a piece on, see relay_group()                        \
+       */
+#define HOLDERS_FRACTION                                                       \
+    2 /* if 1 in 2 of a region holds it: only holders are asked */
 
 typedef struct OrderKey {
     char text[QR_NAME_MAX + 48];
 } OrderKey;
 
-/* Those whose engines leave come last. */
+/* Sorts by rendezvous hash; members whose engines are leaving come last. */
 static int compare_rank(const void *a, const void *b, void *key)
 {
     const QRFleetMember *m = *(const QRFleetMember *const *)a;
@@ -99,8 +102,8 @@
     return strcmp(m->name, plan->self) == 0;
 }
 
-/* Who passes the piece into our region if we are its relay; NULL: the origin.
- */
+/* Returns the source of the piece outside the region if this sidecar is its
+   relay; NULL: the origin. */
 static const QRFleetMember *choose_root(const QRSourcePlan *plan,
                                         uint32_t index, unsigned tried)
 {
@@ -118,7 +121,7 @@
     return is_self(plan, root) ? NULL : root;
 }
 
-/* Engines that leave have no relays beside them, if others stay. */
+/* Sidecars of leaving engines are relays only if no other sidecar remains. */
 static unsigned relay_count(const QRSourcePlan *plan)
 {
     return plan->relays ? plan->relays : plan->local->len;
@@ -132,18 +135,21 @@
 }
 
 /*
- * The relays that pass a piece on, as places in the region, which go on at its
- * start: the first draws it from the root, the others from the first.
+ * The relays of a piece: 'count' consecutive ranks of the region from 'first',
+ * modulo 'relays'. The first fetches the piece from the root, the others fetch
+ * it from the first.
  */
 typedef struct RelayGroup {
-    unsigned relays; /* in the region, more than 0 */
+    unsigned relays; /* all relays of the region; at least 1 */
     unsigned first, count;
 } RelayGroup;
 
 /*
- * Each relay has as many pieces of its own as the others. Those that are left
- * have groups, of such a size that every relay is in about two, and that the
- * first has no more to send to the others than these have to pass on.
+ * Each relay has the same number of pieces of its own. Each remaining piece has
+ * a group of relays. The size of a group places each relay in about
+ * GROUPS_PER_RELAY groups, and is at most the square root of the number of
+ * relays; the first relay then sends no more copies to the others of its group
+ * than each of those sends.
  */
 static RelayGroup relay_group(unsigned pieces, unsigned relays, uint32_t index)
 {
@@ -162,7 +168,7 @@
            (rank + g->relays - g->first) % g->relays < g->count;
 }
 
-/* Whether this sidecar is one of the relays of the piece. */
+/* Whether this sidecar is a relay of the piece. */
 static bool is_group_relay(const QRSourcePlan *plan, uint32_t index)
 {
     unsigned n = relay_count(plan);
@@ -174,8 +180,8 @@
     return is_in_group(&group, plan->rank);
 }
 
-/* The relay from which this sidecar draws the piece; itself if it is the first
-   of the group. */
+/* Returns the relay from which this sidecar fetches the piece. Returns this
+   sidecar itself if it is the first of the group. */
 static const QRFleetMember *default_relay(const QRSourcePlan *plan,
                                           uint32_t index)
 {
@@ -190,14 +196,14 @@
     return relay_at(plan, group.first + plan->rank % group.count);
 }
 
-/* Each of the region, or each root, gave nothing. */
+/* Whether all sidecars of the region, or all roots, failed to deliver. */
 static bool is_exhausted(const QRSourcePlan *plan, QRSourceAttempts tried)
 {
     return tried.relays >= MAX(plan->local->len, ATTEMPTS_MIN) ||
            tried.roots >= MAX(plan->roots, ATTEMPTS_MIN);
 }
 
-/* The relay that we ask for the piece; NULL: we are one that asks a root. */
+/* Returns the relay to ask for the piece; NULL: this sidecar asks a root. */
 static const QRFleetMember *choose_relay(const QRSourcePlan *plan,
                                          uint32_t index, unsigned tried,
                                          QRPieceRole role)
@@ -215,7 +221,7 @@
 QRPieceSource qr_source_choose(const QRSourcePlan *plan, uint32_t index,
                                QRSourceAttempts tried, QRPieceRole role)
 {
-    /* holders are asked each by others, by the asker's name */
+    /* the hash of the asker's name spreads requests over the holders */
     uint64_t turn = qr_hash_str(plan->self, 0) % 1024 + index + tried.relays;
     const QRPieceSource origin = {NULL, QR_PIECE_ROLE_NONE};
     const QRFleetMember *root = choose_root(plan, index, tried.roots);
@@ -223,7 +229,7 @@
 
     if (!root || role == QR_PIECE_ROLE_ROOT || is_exhausted(plan, tried))
         return origin;
-    /* the first holders alone could not send to all the others */
+    /* below this fraction, the holders could not send to all the others */
     if (index != QR_MANIFEST_INDEX &&
         plan->local_holders->len * HOLDERS_FRACTION >= plan->local->len)
         return (QRPieceSource){member_at_rank(plan->local_holders, turn),
--- a/src/sidecar/qr_sources.h
+++ b/src/sidecar/qr_sources.h
@@ -1,52 +1,55 @@
 /*
- * Where a sidecar draws a piece of weights from, and when it switches.
+ * Choice of the source of each piece of weights, and of the time at which a
+ * sidecar switches its engine to a version.
  *
- * The sidecars stand in an order that all agree on who see the same members.
- * The first few, no more than the origin takes connections from, are roots:
- * each draws its share of the pieces from the origin. In each region one
- * sidecar a piece, its relay there, draws it from the root; all others of the
- * region draw it from the relay. So the origin sends one copy over few
- * connections, each link between regions carries one, and every sidecar sends
- * about one. Pieces that are left when all relays have the same number of them
- * are passed on by groups of relays, lest a few send twice what the others do,
- * or in a large region each relay to hundreds. Those that hold the whole
- * version stand in for the roots, and once half of a region holds it, for its
- * relays.
+ * Rendezvous hashing ranks the sidecars; all sidecars that see the same members
+ * compute the same ranks. The first few are roots, limited by the number of
+ * connections that the origin accepts: each root fetches its share of the
+ * pieces from the origin. In each region, one sidecar per piece (the relay)
+ * fetches the piece from the root, and all others of the region fetch it from
+ * the relay. With this scheme the origin sends one copy over few connections,
+ * each link between regions carries one copy, and every sidecar sends about one
+ * copy. Pieces that remain after each relay has an equal number are passed on
+ * by groups of relays; otherwise a few relays would send twice as much as the
+ * others, or, in a large region, each would send to hundreds. Sidecars that
+ * hold the whole version replace the roots, and once half of a region holds the
+ * version, they replace the relays of that region.
  */
 #ifndef QR_SOURCES_H
 #define QR_SOURCES_H
 
 #include "fleet/qr_members.h"
 
-/* Stands for the manifest where pieces are numbered. */
+/* Index of the manifest among the pieces of a version. */
 #define QR_MANIFEST_INDEX UINT32_MAX
 
-/* The sidecars of one service, in the order for one version. */
+/* The sidecars of one service, ranked for one version. */
 typedef struct QRSourcePlan {
     const char *self, *region;
-    GPtrArray *all, *local; /* QRFleetMember *: all, of the region */
-    GPtrArray *holders, *local_holders; /* those that hold the version */
-    unsigned roots;  /* the first of 'all' that draw from the origin */
-    unsigned relays; /* the first of 'near' whose engines do not leave */
-    unsigned rank;   /* of this sidecar in 'near' */
+    GPtrArray *all, *local;             /* QRFleetMember *: all, own region */
+    GPtrArray *holders, *local_holders; /* members that hold the version */
+    unsigned roots;  /* number of roots: the first of 'all' */
+    unsigned relays; /* the first of 'local', whose engines stay */
+    unsigned rank;   /* of this sidecar in 'local' */
     unsigned pieces; /* of the version; 0: not known */
 } QRSourcePlan;
 
-/* Sources that gave nothing so far. */
+/* Number of sources that have not delivered the piece. */
 typedef struct QRSourceAttempts {
-    unsigned relays; /* of our own region */
+    unsigned relays; /* in the own region */
     unsigned roots;
 } QRSourceAttempts;
 
 /*
- * What others take a sidecar for. They may see other members than it does for a
- * while, and so another order: were each to go by its own, some would wait for
- * one another. Who is asked as a relay draws the piece from a root, or from the
- * first relay of its group, whatever it is by its own order; who is asked as
- * the first one from a root, and who is asked as a root from the origin.
+ * The role in which a sidecar is asked for a piece. Sidecars may temporarily
+ * see different members and compute different ranks; if each followed only its
+ * own ranks, some would wait for one another. Whatever its own rank, a sidecar
+ * asked as a relay fetches the piece from a root or from the first relay of its
+ * group, one asked as the first relay fetches it from a root, and one asked as
+ * a root fetches it from the origin.
  */
 typedef enum QRPieceRole {
-    QR_PIECE_ROLE_NONE, /* nobody asked */
+    QR_PIECE_ROLE_NONE, /* no peer has asked: the own ranks apply */
     QR_PIECE_ROLE_RELAY,
     QR_PIECE_ROLE_FIRST_RELAY,
     QR_PIECE_ROLE_ROOT,
@@ -54,13 +57,14 @@
 
 typedef struct QRPieceSource {
     const QRFleetMember *from; /* NULL: the origin */
-    QRPieceRole role;          /* as which it is asked */
+    QRPieceRole role;          /* role in which 'from' is asked */
 } QRPieceSource;
 
 /*
- * 'members' are QRFleetMember *: sidecars that count, this one too.
- * 'origin_connections' are those that the origin takes; 'pieces' those of the
- * version; 0: not known.
+ * Initializes 'plan'; the caller clears it. 'members' holds QRFleetMember *:
+ * the eligible sidecars, including this one; they and the strings must outlive
+ * the plan. 'origin_connections' is the number that the origin accepts,
+ * 'pieces' the number of pieces of the version; 0: not known.
  */
 void qr_source_plan_init(QRSourcePlan *plan, const GPtrArray *members,
                          const char *self, const char *region,
@@ -69,20 +73,21 @@
 void qr_source_plan_clear(QRSourcePlan *plan);
 G_DEFINE_AUTO_CLEANUP_CLEAR_FUNC(QRSourcePlan, qr_source_plan_clear)
 
-/* The source of a piece, or of the manifest; 'role': what others take us for.
- */
+/* Returns the source of a piece or of the manifest. 'role' is the role in which
+   peers ask this sidecar for it. */
 QRPieceSource qr_source_choose(const QRSourcePlan *plan, uint32_t index,
                                QRSourceAttempts tried, QRPieceRole role);
-/* Whether 'member' passes the piece on to others of its region. */
+/* Whether 'member' relays the piece to others of its region. */
 bool qr_source_is_relay(const QRSourcePlan *plan, uint32_t index,
                         const QRFleetMember *member);
 
-/* The place of a sidecar in the order; the first switch first. */
+/* The rank of a sidecar; low ranks switch first. Returns the number of sidecars
+   if the name is unknown. */
 unsigned qr_source_rank(const QRSourcePlan *plan, const char *name);
 
 /*
- * When this sidecar's engine starts a version: sidecars follow one another
- * over the time between 'first_ms' and 'last_ms', by their place.
+ * When this sidecar's engine starts a version. The starts of all sidecars are
+ * spread evenly from 'first_ms' to 'last_ms' by rank.
  */
 uint64_t qr_switch_time_ms(const QRSourcePlan *plan, uint64_t first_ms,
                            uint64_t last_ms);
--- a/src/sidecar/qr_uploads.c
+++ b/src/sidecar/qr_uploads.c
@@ -91,8 +91,8 @@
     QRWaiter *w = g_memdup2(waiter, sizeof(*waiter));
     GList *at = s->uploads.head;
 
-    w->upload_number = upload_order(s, w);
-    while (at && ((QRWaiter *)at->data)->upload_number <= w->upload_number)
+    w->upload_priority = upload_order(s, w);
+    while (at && ((QRWaiter *)at->data)->upload_priority <= w->upload_priority)
         at = at->next;
     g_queue_insert_before(&s->uploads, at, w);
 }
--- a/src/sidecar/qr_weights.c
+++ b/src/sidecar/qr_weights.c
@@ -1,5 +1,5 @@
 /*
- * Weights of the named versions: which are brought here, and when they go.
+ * The versions whose weights a sidecar fetches, and when it drops them.
  */
 #include "qr_sidecar.h"
 
@@ -40,7 +40,8 @@
     g_ptr_array_remove(s->targets, t);
 }
 
-/* An older version goes once a newer one is whole, served, or in force. */
+/* Drops an older version once a newer one is complete, served or past its
+   deadline. */
 static void drop_superseded(QRSidecar *s)
 {
     uint64_t due = qr_operator_version_due(&s->operator, s->model,
@@ -59,8 +60,8 @@
 }
 
 /*
- * A version of which nothing has come yet is passed over when a newer one is
- * named: the newer one is as near, and meets the bounds of both.
+ * When a newer version is named, drops versions of which no piece has arrived:
+ * the newer version takes no longer to fetch and meets the deadlines of both.
  */
 static void drop_unstarted(QRSidecar *s)
 {
@@ -111,7 +112,8 @@
             s->model, t->version,
             t->named_ms ? t->progress.last_ms - t->named_ms : 0,
             s->targets->len);
-    qr_sidecar_send_state(s, true); /* the engine may hold it already */
+    qr_sidecar_send_state(s,
+                          true); /* the engine may already serve this version */
 }
 
 bool qr_target_set_manifest(QRTarget *t, const void *data, size_t len)
@@ -132,8 +134,7 @@
     return true;
 }
 
-/* The piece whose source was asked longest ago; NULL: none is asked for.
- */
+/* Returns the piece with the oldest open request; NULL: none is requested. */
 static const QRPiece *longest_waiting_piece(const QRTarget *t, unsigned *index)
 {
     const QRPiece *longest_wait = NULL;
@@ -178,7 +179,7 @@
             longest_wait ? longest_wait->attempts.roots : 0);
 }
 
-/* Nothing is drawn of a version that the engine serves and nobody asks for. */
+/* A version that the engine serves is fetched only if a peer waits for it. */
 static bool is_needed(const QRTarget *t)
 {
     const QRSidecar *s = t->sidecar;
@@ -193,9 +194,9 @@
 }
 
 /*
- * What may lie at the engine already is looked at before it is drawn again.
- * There is nothing to look at while the engine is not up, once we have put
- * another version there, or while an older one is being staged.
+ * Whether the pieces already stored at the engine must be listed before others
+ * are fetched. There is nothing to list while the engine is not up, after this
+ * sidecar has put another version there, or while an older one is being staged.
  */
 static bool must_scan_first(const QRTarget *t)
 {
@@ -222,7 +223,7 @@
         return;
     }
     target_log_progress(t, now);
-    /* each in an order of its own, so that not all ask one peer at once */
+    /* start at a piece that depends on the host: spreads requests over peers */
     offset = (unsigned)qr_hash_str(s->set->host, t->version);
     for (unsigned i = 0; i < t->pieces->len; i++)
         qr_piece_tick(t, (i + offset % t->pieces->len) % t->pieces->len, &plan,
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -322,8 +322,8 @@
     wait_for("slow link", lambda: "link slow" in fleet.log("s0"))
     wait_for("gateway to know", lambda: "slow_link=1" in fleet.log("g0"))
     assert sent[0].want(2).state == fleet_pb2.Piece.ABSENT
-    wait_for("the link to be as usual",
-             lambda: "link as usual" in fleet.log("s0"), 6)
+    wait_for("the link to be normal",
+             lambda: "link normal" in fleet.log("s0"), 6)
     assert sent[1].want(2).state == fleet_pb2.Piece.QUEUED
 
 
