--- a/src/sidecar/qr_sources.c
+++ b/src/sidecar/qr_sources.c
@@ -12,11 +12,10 @@
  * connections that are slow to close. */
 #define CONNECTIONS_PER_ROOT 3
 #define ROOTS_DEFAULT 8
-#define GROUPS_PER_RELAY                                                       \
-    2 /* groups that pass a piece on, see relay_group()                        \
-       */
-#define HOLDERS_FRACTION                                                       \
-    2 /* if 1 in 2 of a region holds it: only holders are asked */
+/* Number of relay groups that each relay is in, see relay_group(). */
+#define GROUPS_PER_RELAY 2
+/* Only holders are asked once 1 in this many of a region holds the version. */
+#define HOLDERS_FRACTION 2
 
 typedef struct OrderKey {
     char text[QR_NAME_MAX + 48];
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -1,4 +1,4 @@
-"""Sidecars as real processes: weights reach engines whole, and in turn."""
+"""Sidecars as real processes: engines receive complete weights in order."""
 import json
 import struct
 import time
@@ -22,7 +22,7 @@
 
 
 def check_orders(engines):
-    """Every order found all pieces of its version, and no other."""
+    """At each order, exactly the pieces of its version were staged."""
     for e in engines:
         for version, stage in e.taken:
             assert stage == whole(version), (e.id, version)
@@ -44,18 +44,18 @@
     return all(e.version == version for e in fleet.models)
 
 
-def test_a_named_version_is_served_everywhere(fleet):
+def test_named_version_is_served_by_all_engines(fleet):
     name_version(fleet, 2)
     wait_for("version 2", lambda: serving(fleet, 2), 10)
     check_orders(fleet.models)
-    assert fleet.origin.sent <= CHUNKS + 2  # one copy, give or take
+    assert fleet.origin.sent <= CHUNKS + 2  # about one copy
     assert all(len(e.taken) == 1 for e in fleet.models)
 
 
-def test_few_connections_to_the_origin(fleet):
-    """Bench, 76 sidecars: all read the manifest from the origin, over more
-    connections than it takes; the owners of pieces were reset, and a version
-    was whole after 9 s in place of 4."""
+def test_few_connections_to_origin(fleet):
+    """With 76 sidecars on a test bench, all read the manifest from the origin
+    over more connections than it accepts. The origin reset the connections of
+    roots, and a version was complete after 9 s instead of 4 s."""
     fleet.store.put("keyed.op", "config",
                     policy(2, fleet.origin.address, origin_connections=3))
     wait_for("policy", lambda: all("in force version=2" in fleet.log(f"s{i}")
@@ -73,7 +73,7 @@
              lambda: not fleet.origin.open, 1.5)
 
 
-def test_spoilt_pieces_are_drawn_again(fleet):
+def test_corrupt_pieces_are_fetched_again(fleet):
     fleet.origin.spoil = 3
     name_version(fleet, 2)
     wait_for("version 2", lambda: serving(fleet, 2), 15)
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("fleet", [12000], indirect=True)
-def test_a_piece_that_turns_bad_while_it_lies_is_put_again(fleet):
+def test_staged_piece_that_becomes_corrupt_is_staged_again(fleet):
     victim = fleet.models[0]
     name_version(fleet, 2)
     wait_for("all pieces staged", lambda: victim.stage == whole(2), 10)
@@ -92,7 +92,7 @@
     check_orders(fleet.models)
 
 
-def test_an_engine_that_starts_anew_takes_what_lies_there(fleet):
+def test_restarted_engine_uses_staged_pieces(fleet):
     name_version(fleet, 2)
     wait_for("version 2", lambda: serving(fleet, 2), 10)
     sent = fleet.origin.sent
@@ -102,53 +102,53 @@
     assert fleet.origin.sent == sent
 
 
-def tell_births(fleet):
+def publish_start_times(fleet):
     for e in fleet.models:
         e.born = int(time.time() * 1000)
         fleet.store.put("keyed.servers", e.id, e.record())
     time.sleep(0.5)  # a report each 0.2 s
 
 
-def start_anew(fleet, engine):
+def restart_engine(fleet, engine):
     engine.start_anew(engine.sequence)
     fleet.store.put("keyed.servers", engine.id, engine.record())
 
 
-def test_an_engine_that_starts_anew_unseen_is_given_its_weights_again(fleet):
-    """By its first report it has been ordered as often as before: only its
-    start tells the runs apart."""
-    tell_births(fleet)
+def test_engine_restart_between_reports_restages_weights(fleet):
+    """The first report after a restart has the same order sequence number as
+    before; only the start time shows that the engine restarted."""
+    publish_start_times(fleet)
     name_version(fleet, 2)
     wait_for("version 2", lambda: serving(fleet, 2), 10)
-    start_anew(fleet, fleet.models[1])
+    restart_engine(fleet, fleet.models[1])
     wait_for("version 2 again", lambda: serving(fleet, 2), 10)
     check_orders(fleet.models)
 
 
-def test_an_engine_that_starts_anew_twice_while_it_is_staged(fleet):
-    tell_births(fleet)
+def test_engine_restarts_twice_during_staging(fleet):
+    publish_start_times(fleet)
     victim = fleet.models[0]
     name_version(fleet, 2)
     for _ in range(2):
         wait_for("some pieces staged", lambda: victim.stage, 10)
-        start_anew(fleet, victim)
+        restart_engine(fleet, victim)
         time.sleep(0.3)
     wait_for("version 2", lambda: serving(fleet, 2), 15)
     check_orders(fleet.models)
 
 
-def test_an_engine_that_starts_anew_right_after_its_order(fleet):
-    tell_births(fleet)
+def test_engine_restarts_right_after_order(fleet):
+    publish_start_times(fleet)
     victim = fleet.models[0]
     name_version(fleet, 2)
     wait_for("the order", lambda: victim.taken, 10)
-    start_anew(fleet, victim)
+    restart_engine(fleet, victim)
     wait_for("version 2", lambda: serving(fleet, 2), 15)
     check_orders(fleet.models)
 
 
-def test_an_empty_engine_takes_the_first_version(fleet):
-    """Bench: engines added before any version was named served nothing."""
+def test_empty_engine_gets_first_version(fleet):
+    """Engines added before any version was named served nothing."""
     e = fleet.add_engine("m9", "engines", MODEL, 0)
     fleet.models.append(e)
     for i in range(3):
@@ -158,9 +158,10 @@
     check_orders([e])
 
 
-def test_an_empty_engine_among_many_that_started_with_the_version(fleet):
-    """Bench, 76 sidecars: the others served version 1 from their start and had
-    no manifest of it; each waited for another one's."""
+def test_empty_engine_among_engines_started_with_the_version(fleet):
+    """With 76 sidecars on a test bench, the others served version 1 from their
+    start and had no manifest of it; each waited for the manifest from another.
+    """
     for e in fleet.models:
         e.stage = whole(1)
     for e in fleet.models[:2]:
@@ -177,9 +178,9 @@
     assert asker.want(1, index=2).state == fleet_pb2.Piece.ABSENT
 
 
-def test_a_source_that_is_gone_is_not_waited_for(fleet):
-    """Bench: sidecars that had seen different members waited for one another,
-    each saying that it would have the piece, 8 s long."""
+def test_wait_for_departed_source_ends(fleet):
+    """Sidecars that saw different members waited for one another for 8 s, each
+    replying that the piece was pending."""
     stubborn = StubbornSidecar(fleet.peers[0])
     try:
         wait_for("members", lambda: all("listed name=stubborn" in
@@ -193,9 +194,9 @@
         stubborn.close()
 
 
-def test_a_version_goes_on_though_the_next_is_named(fleet):
-    """Bench: the origin went down soon after a second version was named, and
-    no engine got either."""
+def test_version_continues_when_next_is_named(fleet):
+    """The origin failed soon after a second version was named, and no engine
+    received either version."""
     name_version(fleet, 2)
     wait_for("version 2 out of the origin",
              lambda: fleet.origin.answered >= {(2, i) for i in range(CHUNKS)},
@@ -208,9 +209,9 @@
     check_orders(fleet.models)
 
 
-def test_a_version_not_begun_is_passed_over(fleet):
-    """Bench, trouble-3 of the third site: of two versions named in an outage
-    both were drawn, and the newer, which meets both bounds, came late."""
+def test_unstarted_version_is_skipped(fleet):
+    """Of two versions named during an outage of the origin, both were fetched;
+    the newer, which meets both deadlines, was late."""
     fleet.origin.take_down()
     name_version(fleet, 2)
     wait_for("version 2 to be heard of", lambda: all(
@@ -225,7 +226,7 @@
     assert all((2, i) not in fleet.origin.answered for i in range(CHUNKS))
 
 
-def test_a_dead_sidecar_holds_nobody_up(fleet):
+def test_dead_sidecar_does_not_delay_others(fleet):
     fleet.procs["s2"].kill()
     fleet.procs["s2"].wait()
     wait_for("loss seen", lambda: "sidecar lost name=s2" in fleet.log("g0"))
@@ -236,8 +237,8 @@
     assert time.monotonic() - start < 4  # the bound of these settings
 
 
-def test_calls_begin_on_no_version_behind_its_bound(fleet):
-    """Bench: VERSION. An engine that does not get there gets no calls."""
+def test_no_calls_on_version_past_deadline(fleet):
+    """An engine that misses the deadline of a version gets no calls."""
     fleet.procs["s0"].kill()
     fleet.procs["s0"].wait()
     name_version(fleet, 2)
@@ -258,9 +259,9 @@
         return Peer(json.load(f)["peers"])
 
 
-def test_a_want_for_a_version_not_heard_of_waits(fleet):
-    """Bench: who was told 'absent' went on to the next in order, and pieces
-    were drawn from the origin several times."""
+def test_request_for_unknown_version_is_pending(fleet):
+    """Peers that received ABSENT asked the next source by rank, and pieces
+    were fetched from the origin several times."""
     peer = peer_of(fleet, "s0")
     states = fleet_pb2.Piece
     assert peer.want(2).state == states.PENDING
@@ -275,22 +276,22 @@
     check_orders(fleet.models)
 
 
-def test_a_peer_that_does_not_read_holds_nobody_up(fleet):
-    """Bench: while a peer drew from eight at once, each of the eight sent to
-    nobody else."""
+def test_peer_that_does_not_read_does_not_delay_others(fleet):
+    """While a peer fetched from eight sidecars at once, each of the eight sent
+    to no other peer."""
     name_version(fleet, 2)
     wait_for("version 2", lambda: serving(fleet, 2), 10)
-    deaf, other = peer_of(fleet, "s0"), peer_of(fleet, "s0")
+    stalled, other = peer_of(fleet, "s0"), peer_of(fleet, "s0")
     for i in range(4000):  # more than the kernel's buffers take
-        deaf.send(want=fleet_pb2.Want(model=MODEL, version=2, index=i % 6))
+        stalled.send(want=fleet_pb2.Want(model=MODEL, version=2, index=i % 6))
     time.sleep(0.5)
     other.conn.settimeout(2)
     assert other.want(2).state == fleet_pb2.Piece.QUEUED
     assert other.piece().data == chunk_of(2, 1)
 
 
-def peers_sent_to(fleet, count):
-    """Peers that were sent a piece each and have not said that it came."""
+def peers_with_unconfirmed_piece(fleet, count):
+    """Returns peers that received a piece each and have not confirmed it."""
     peers = [peer_of(fleet, "s0") for _ in range(count)]
     for peer in peers:
         assert peer.want(2).state == fleet_pb2.Piece.QUEUED
@@ -298,11 +299,11 @@
     return peers
 
 
-def test_few_pieces_are_on_their_way_at_once(fleet):
-    """Bench: a squeezed link held seconds of pieces, and calls behind them."""
+def test_unconfirmed_pieces_are_limited(fleet):
+    """On a slow link, pieces queued for seconds and delayed calls."""
     name_version(fleet, 2)
     wait_for("version 2", lambda: serving(fleet, 2), 10)
-    sent = peers_sent_to(fleet, 3)
+    sent = peers_with_unconfirmed_piece(fleet, 3)
     other = peer_of(fleet, "s0")
     assert other.want(2).state == fleet_pb2.Piece.QUEUED
     with pytest.raises(TimeoutError):
@@ -314,10 +315,10 @@
     assert other.piece().state == fleet_pb2.Piece.DATA
 
 
-def test_a_slow_link_sends_no_pieces(fleet):
+def test_slow_link_sends_no_pieces(fleet):
     name_version(fleet, 2)
     wait_for("version 2", lambda: serving(fleet, 2), 10)
-    sent = peers_sent_to(fleet, 3)
+    sent = peers_with_unconfirmed_piece(fleet, 3)
     assert "link slow" not in fleet.log("s0")
     wait_for("slow link", lambda: "link slow" in fleet.log("s0"))
     wait_for("gateway to know", lambda: "slow_link=1" in fleet.log("g0"))
--- a/tests/unit_sources.c
+++ b/tests/unit_sources.c
@@ -1,6 +1,6 @@
 /*
- * Unit tests of where sidecars draw pieces of weights from, and of when they
- * switch.
+ * Unit tests of the choice of sources for pieces of weights, and of the switch
+ * times of sidecars.
  */
 #include "unit_sources.h"
 
@@ -38,7 +38,7 @@
 
 #define SIDECARS 18
 #define PIECES 72
-#define ORIGIN_CONNECTIONS 24 /* so 8 roots */
+#define ORIGIN_CONNECTIONS 24 /* results in ROOTS roots */
 #define ROOTS 8
 
 static QRPieceSource source(const QRFleetMembers *m, const char *self,
@@ -53,6 +53,7 @@
                             QR_PIECE_ROLE_NONE);
 }
 
+/* The origin sends each piece once, and every sidecar about one copy. */
 START_TEST(sources_one_copy_from_the_origin)
 {
     QRFleetMembers m;
@@ -79,10 +80,10 @@
                 strcmp(at.from->region, qr_members_get(&m, self)->region) != 0;
         }
     }
-    ck_assert_uint_eq(origin, PIECES); /* one sidecar a piece */
+    ck_assert_uint_eq(origin, PIECES); /* one sidecar per piece */
     for (unsigned i = 0; i < SIDECARS; i++)
         roots += drawn[i] > 0;
-    ck_assert_uint_eq(roots, ROOTS); /* the origin takes few connections */
+    ck_assert_uint_eq(roots, ROOTS); /* the origin accepts few connections */
     ck_assert_uint_eq(across, PIECES * (REGIONS - 1));
     for (unsigned i = 0; i < SIDECARS; i++)
         ck_assert_msg(sends[i] >= PIECES * 3 / 4 && sends[i] <= PIECES * 5 / 4,
@@ -91,7 +92,7 @@
 }
 END_TEST
 
-/* Follows a piece to the origin; returns how many hops that took. */
+/* Returns the number of hops from 'self' to the origin; 0: not reached. */
 static unsigned hops_to_origin(const QRFleetMembers *m, const char *self,
                                unsigned piece, QRSourceAttempts tried)
 {
@@ -105,7 +106,8 @@
     return 0;
 }
 
-START_TEST(sources_end_at_the_origin_whoever_gave_nothing)
+/* After failed attempts, the chain of sources must still end at the origin. */
+START_TEST(sources_end_at_origin_after_failed_attempts)
 {
     QRFleetMembers m;
 
@@ -127,8 +129,9 @@
 }
 END_TEST
 
-/* A dead relay costs no second read of the origin, a dead root just one. */
-START_TEST(sources_next_relay_same_root)
+/* A dead relay must not cause a second read of the origin; a dead root causes
+   one. */
+START_TEST(sources_next_relay_uses_same_root)
 {
     QRFleetMembers m;
     unsigned relays_seen = 0;
@@ -149,7 +152,7 @@
             ck_assert_str_eq(second.from->region, first.from->region);
             continue;
         }
-        relays_seen++; /* it is the next relay: asks the root of the first */
+        relays_seen++; /* the next relay asks the root of the first relay */
         ck_assert_ptr_eq(second.from,
                          source(&m, first.from->name, 1, 0, 0).from
                              ? source(&m, first.from->name, 1, 0, 0).from
@@ -161,7 +164,8 @@
 }
 END_TEST
 
-START_TEST(relays_are_known_to_all)
+/* Each piece has exactly one relay per region. */
+START_TEST(sources_one_relay_per_region)
 {
     QRFleetMembers m;
     g_autoptr(GPtrArray) list = NULL;
@@ -192,8 +196,11 @@
     holder->model = g_strdup("m");
 }
 
-/* Region of s0: s0, s3, s6, s9 (12 sidecars, 3 regions). */
-START_TEST(sources_holders_stand_in)
+/*
+ * Sidecars that hold the version replace roots, and relays once half of the
+ * region holds it. Region of s0: s0, s3, s6, s9 (12 sidecars, 3 regions).
+ */
+START_TEST(sources_holders_replace_roots_and_relays)
 {
     QRFleetMembers m;
     unsigned at_holder = 0;
@@ -201,17 +208,17 @@
     qr_members_init(&m);
     members_fill(&m, 12);
     member_holds(&m, "s3");
-    /* one holder of four: in place of the roots, not of the relays */
+    /* one holder of four replaces the roots, but not the relays */
     for (unsigned piece = 0; piece < 24; piece++) {
         QRPieceSource at = source(&m, "s0", piece, 0, 0);
 
-        ck_assert_ptr_nonnull(at.from); /* nobody reads the origin again */
+        ck_assert_ptr_nonnull(at.from); /* no second read of the origin */
         if (at.role == QR_PIECE_ROLE_ROOT)
             ck_assert_str_eq(at.from->name, "s3");
         at_holder += strcmp(at.from->name, "s3") == 0;
     }
     ck_assert_uint_lt(at_holder, 24);
-    /* nobody need have the manifest: the origin has it, through the roots */
+    /* holders may lack the manifest: it comes from the origin via the roots */
     member_holds(&m, "s3");
     for (unsigned i = 0; i < 12; i++) {
         char self[16];
@@ -221,7 +228,7 @@
                                          (QRSourceAttempts){0, 0}),
                           1);
     }
-    /* half of the region: all ask holders, each others */
+    /* half of the region holds it: requests are spread over the holders */
     member_holds(&m, "s6");
     at_holder = 0;
     for (unsigned piece = 0; piece < 24; piece++) {
@@ -231,7 +238,7 @@
         at_holder += strcmp(at.from->name, "s3") == 0;
     }
     ck_assert_uint_eq(at_holder, 12);
-    /* whoever gives nothing is passed over, at last the origin */
+    /* after many failed relays, the origin is asked */
     for (unsigned piece = 0; piece < 24; piece++)
         ck_assert_ptr_null(source(&m, "s0", piece, 99, 0).from);
     for (unsigned i = 0; i < 12; i++) {
@@ -252,8 +259,9 @@
 }
 END_TEST
 
-/* A root whose engine is leaving may go with pieces undrawn. */
-START_TEST(sources_pass_over_who_leaves)
+/* A root whose engine is leaving may exit before it has fetched its pieces; it
+   must not be chosen. */
+START_TEST(sources_skip_leaving_members)
 {
     QRFleetMembers m;
 
@@ -268,10 +276,10 @@
             g_snprintf(self, sizeof(self), "s%u", i);
             at = source(&m, self, piece, 0, 0);
             ck_assert(!at.from || strcmp(at.from->name, "s3") != 0);
-            ck_assert(at.from || i != 3); /* nor does it draw for others */
+            ck_assert(at.from || i != 3); /* nor does it fetch for others */
         }
     }
-    /* all leave, as it seems: better they than nobody */
+    /* all members are marked leaving: they are chosen anyway */
     for (unsigned i = 0; i < 12; i++) {
         char self[16];
 
@@ -285,7 +293,8 @@
 }
 END_TEST
 
-START_TEST(sources_forget_who_is_gone)
+/* A removed member must not be chosen as a source. */
+START_TEST(sources_skip_removed_members)
 {
     QRFleetMembers m;
 
@@ -301,22 +310,22 @@
 }
 END_TEST
 
-/* What the sidecars of one region send, and how far pieces come. */
-typedef struct Region {
-    unsigned most;    /* pieces that any of them sends there */
-    unsigned deepest; /* hops of a piece within it */
-} Region;
+/* Load of the sidecars of one region, and length of the paths of pieces. */
+typedef struct RegionLoad {
+    unsigned max_sent; /* pieces sent by the busiest sidecar */
+    unsigned max_hops; /* hops of a piece within the region */
+} RegionLoad;
 
 #define REGION_MOST 400
 #define MODEL_PIECES 48
 
-static Region region_play(unsigned sidecars)
+static RegionLoad region_simulate(unsigned sidecars)
 {
     QRFleetMembers m;
     g_autoptr(GPtrArray) list = NULL;
     static unsigned from[REGION_MOST][MODEL_PIECES];
     unsigned sends[REGION_MOST] = {0};
-    Region out = {0};
+    RegionLoad out = {0};
 
     qr_members_init(&m);
     members_fill_regions(&m, sidecars, 1);
@@ -338,13 +347,13 @@
         }
     }
     for (unsigned i = 0; i < sidecars; i++) {
-        out.most = MAX(out.most, sends[i]);
+        out.max_sent = MAX(out.max_sent, sends[i]);
         for (unsigned piece = 0; piece < MODEL_PIECES; piece++) {
             unsigned hops = 0;
 
             for (unsigned at = i; from[at][piece] != at && hops < 9; hops++)
                 at = from[at][piece];
-            out.deepest = MAX(out.deepest, hops);
+            out.max_hops = MAX(out.max_hops, hops);
         }
     }
     qr_members_clear(&m);
@@ -352,27 +361,27 @@
 }
 
 /*
- * Pattern: a version is named to a region of any size. A link carries one copy
- * in, and one out, in the same time; so a sidecar that sends two makes all
- * others wait twice as long as the link itself takes.
+ * A version is named to a region of 2 to 300 sidecars. A link receives and
+ * sends one copy in the same time; a sidecar that sends two copies makes all
+ * others wait for twice the transfer time of the link.
  */
-START_TEST(sources_nobody_sends_much_more_than_one_copy)
+START_TEST(sources_none_sends_much_more_than_one_copy)
 {
     for (unsigned n = 2; n <= 300; n += n < 60 ? 1 : 13) {
-        Region r = region_play(n);
+        RegionLoad r = region_simulate(n);
 
-        ck_assert_msg(2 * r.most <= 3 * MODEL_PIECES, "of %u one sends %u", n,
-                      r.most);
-        ck_assert_uint_le(r.deepest, 2);
+        ck_assert_msg(2 * r.max_sent <= 3 * MODEL_PIECES, "of %u one sends %u",
+                      n, r.max_sent);
+        ck_assert_uint_le(r.max_hops, 2);
     }
 }
 END_TEST
 
-/* Some do not know yet that the engine beside 'late' leaves: it stands
-   elsewhere in the order that they see. */
-static QRPieceSource mixed_source(QRFleetMembers *m, const char *self,
-                                  const char *late, unsigned piece,
-                                  QRPieceRole role)
+/* Half of the sidecars do not know yet that the engine beside 'late' is
+   leaving, and give that sidecar another rank. */
+static QRPieceSource source_with_mixed_views(QRFleetMembers *m,
+                                             const char *self, const char *late,
+                                             unsigned piece, QRPieceRole role)
 {
     g_autoptr(GPtrArray) list = qr_members_of(m, QR_ROLE_SIDECAR, "s");
     g_auto(QRSourcePlan) plan = {0};
@@ -384,11 +393,11 @@
 }
 
 /*
- * Pattern: engines are taken away while a version is on its way, and half of
- * the sidecars have not heard of it. A piece that each of two waits for from
- * the other comes to neither.
+ * Engines are removed while a version is being fetched, and half of the
+ * sidecars do not know yet. Two sidecars that wait for the same piece from each
+ * other never receive it.
  */
-START_TEST(sources_that_see_other_members_do_not_wait_for_one_another)
+START_TEST(sources_no_wait_cycle_with_different_members)
 {
     QRFleetMembers m;
 
@@ -406,7 +415,7 @@
             g_snprintf(self, sizeof(self), "s%u", i % SIDECARS);
             for (; hops < 6; hops++) {
                 QRPieceSource at =
-                    mixed_source(&m, self, away, i / SIDECARS, role);
+                    source_with_mixed_views(&m, self, away, i / SIDECARS, role);
 
                 if (!at.from)
                     break;
@@ -421,7 +430,8 @@
 }
 END_TEST
 
-START_TEST(switches_follow_one_another)
+/* Sidecars must not all switch at once: the switch times are spread evenly. */
+START_TEST(switch_times_are_spread)
 {
     QRFleetMembers m;
     g_autoptr(GPtrArray) list = NULL;
@@ -454,15 +464,14 @@
 
     tcase_set_timeout(t, 300);
     tcase_add_test(t, sources_one_copy_from_the_origin);
-    tcase_add_test(t, sources_end_at_the_origin_whoever_gave_nothing);
-    tcase_add_test(t, sources_next_relay_same_root);
-    tcase_add_test(t, relays_are_known_to_all);
-    tcase_add_test(t, sources_holders_stand_in);
-    tcase_add_test(t, sources_forget_who_is_gone);
-    tcase_add_test(t, sources_pass_over_who_leaves);
-    tcase_add_test(t, sources_nobody_sends_much_more_than_one_copy);
-    tcase_add_test(t,
-                   sources_that_see_other_members_do_not_wait_for_one_another);
-    tcase_add_test(t, switches_follow_one_another);
+    tcase_add_test(t, sources_end_at_origin_after_failed_attempts);
+    tcase_add_test(t, sources_next_relay_uses_same_root);
+    tcase_add_test(t, sources_one_relay_per_region);
+    tcase_add_test(t, sources_holders_replace_roots_and_relays);
+    tcase_add_test(t, sources_skip_removed_members);
+    tcase_add_test(t, sources_skip_leaving_members);
+    tcase_add_test(t, sources_none_sends_much_more_than_one_copy);
+    tcase_add_test(t, sources_no_wait_cycle_with_different_members);
+    tcase_add_test(t, switch_times_are_spread);
     return t;
 }
--- a/tests/unit_sources.h
+++ b/tests/unit_sources.h
@@ -1,5 +1,5 @@
 /*
- * Unit tests of where sidecars draw pieces of weights from.
+ * Unit tests of the choice of sources for pieces of weights.
  */
 #ifndef UNIT_SOURCES_H
 #define UNIT_SOURCES_H
