--- a/src/sidecar/qr_pieces.c
+++ b/src/sidecar/qr_pieces.c
@@ -271,7 +271,8 @@
         return false;
     /* what is on its way will tell: until then it stays slow */
     if (s->targets && on_their_way(s) > 0)
-        s->link_slow_until_ms = MAX(s->link_slow_until_ms, now_ms + SLOW_LINK_MS);
+        s->link_slow_until_ms =
+            MAX(s->link_slow_until_ms, now_ms + SLOW_LINK_MS);
     return true;
 }
 
--- a/src/sidecar/qr_sidecar_peers.c
+++ b/src/sidecar/qr_sidecar_peers.c
@@ -221,7 +221,8 @@
         peer_engine_state(s, frame->engine_state);
         break;
     case QR__FLEET__FRAME__BODY_RECORDS:
-        qr_operator_apply_records(&s->operator, frame->records, qr_sidecar_now(s));
+        qr_operator_apply_records(&s->operator, frame->records,
+                                  qr_sidecar_now(s));
         break;
     case QR__FLEET__FRAME__BODY_WANT:
         qr_weights_want(s, peer, frame->want);
--- a/src/sidecar/qr_stage.c
+++ b/src/sidecar/qr_stage.c
@@ -258,8 +258,9 @@
     if (!is_in_use(s, now_ms) || t->named_ms == 0)
         return 0;
     qr_sidecar_plan(s, t->version, &plan);
-    return qr_switch_time_ms(&plan, t->named_ms + MIN(SWITCH_LEAD_MS, bound / 3),
-                        t->named_ms + bound - MIN(bound, SWITCH_MARGIN_MS));
+    return qr_switch_time_ms(
+        &plan, t->named_ms + MIN(SWITCH_LEAD_MS, bound / 3),
+        t->named_ms + bound - MIN(bound, SWITCH_MARGIN_MS));
 }
 
 /*
--- a/src/sidecar/qr_weights.c
+++ b/src/sidecar/qr_weights.c
@@ -45,8 +45,8 @@
 static void drop_superseded(QRSidecar *s)
 {
     uint64_t due = qr_operator_overdue_version(&s->operator, s->model,
-                                           (uint64_t)s->set->version_ms,
-                                           qr_sidecar_now(s));
+                                               (uint64_t)s->set->version_ms,
+                                               qr_sidecar_now(s));
 
     while (s->targets->len > 1) {
         QRTarget *older = s->targets->pdata[0];
@@ -84,7 +84,8 @@
     const QRService *service = qr_sidecar_service(s);
     const char *model = service ? service->engine.model : NULL;
     QRNamedVersion first = {.version = s->platform->first_version};
-    const QRNamedVersion *named = qr_operator_newest_version(&s->operator, model);
+    const QRNamedVersion *named =
+        qr_operator_newest_version(&s->operator, model);
     QRTarget *t;
 
     if (!s->targets)
