--- a/src/fleet/qr_engines.c
+++ b/src/fleet/qr_engines.c
@@ -1,5 +1,5 @@
 /*
- * What a gateway believes of the engines.
+ * State of the engines as one gateway knows it.
  */
 #include "qr_engines.h"
 
@@ -10,15 +10,17 @@
 #define FAILURE_WEIGHT_BROKEN 2
 #define EJECT_FIRST_MS 1000
 #define EJECT_MAX_MS 8000
-#define FULL_PAUSE_MS 60 /* a full engine is left alone for so long */
-/* An engine that has turned a call away may do so with more, and each takes one
-   of the few retries that its whole service has. */
-#define DEPRIORITIZE_FIRST_MS 500 /* doubled each round, so often at most: */
+#define FULL_PAUSE_MS 60 /* no calls to a full engine */
+/* An engine that rejected a call may reject more, and each rejection uses up
+   one of the few retries of its whole service. */
+#define DEPRIORITIZE_FIRST_MS 500 /* doubled with each round of rejections */
 #define DEPRIORITIZE_MAX_DOUBLINGS 3
-#define MISDIRECTED_PAUSE_MS 250 /* doubled each time, so often at most: */
+#define MISDIRECTED_PAUSE_MS 250 /* doubled each time */
 #define MISDIRECTED_MAX_DOUBLINGS 4
 #define FIRST_BYTE_EWMA_WEIGHT 0.2
-/* What an engine said of its leaving outlasts its record by so long. */
+/* An announced shutdown is remembered for this time after the record is
+   removed, because the record may expire during a store outage and come back.
+ */
 #define LEAVING_RETENTION_MS 600000
 
 void qr_engine_record_free(QREngineRecord *r)
@@ -90,8 +92,8 @@
     return NULL;
 }
 
-/* Nothing that was learned of an earlier run counts for this one. Calls that
-   are under way keep what they hold there until they end. */
+/* Discards what was learned of an earlier run of the engine. Open calls keep
+   their slots until they end. */
 static void reset_run_state(QREngine *e)
 {
     e->superseded = false;
@@ -133,7 +135,7 @@
         change = "readable again";
     if (e->record->born_ms != r->born_ms)
         reset_run_state(e);
-    /* the key of the table is the record's own id: it stays */
+    /* the key of by_id is the old record's id, which must stay allocated */
     g_free(r->id);
     r->id = e->record->id;
     e->record->id = NULL;
@@ -242,7 +244,8 @@
     return g_hash_table_lookup(t->by_service, service);
 }
 
-/* Its record may lapse while the store is away, and come back. */
+/* Whether an engine that is gone has open calls, or announced its shutdown a
+   short time ago. Its record may expire during a store outage and come back. */
 static bool must_be_kept(const QREngine *e, uint64_t now_ms)
 {
     return e->own > 0 || (e->notices.leaving &&
@@ -434,7 +437,8 @@
     return true;
 }
 
-/* Calls that were sent before the last one was turned away are of its round. */
+/* A call that was sent before the last rejection belongs to the same round and
+   does not lengthen the pause again. */
 static void outcome_full(QREngine *e, double first_ms, uint64_t now_ms)
 {
     if (now_ms >= e->last_rejection_ms + (uint64_t)first_ms)
--- a/src/fleet/qr_engines.h
+++ b/src/fleet/qr_engines.h
@@ -1,6 +1,6 @@
 /*
- * What a gateway believes of the engines: from the store, from sidecars, from
- * other gateways, and from its own calls.
+ * State of the engines as one gateway knows it: from records in the store, from
+ * reports of sidecars and other gateways, and from the gateway's own calls.
  */
 #ifndef QR_ENGINES_H
 #define QR_ENGINES_H
@@ -9,89 +9,97 @@
 #include "qr_policy.h"
 #include "qr_position.h"
 
-/* An engine's own record in the store. */
+/* The record that an engine writes to the store. */
 typedef struct QREngineRecord {
     char *id, *service, *address, *zone;
     unsigned slots;
     bool draining;
-    uint64_t born_ms; /* start of this run of it, in Unix time; 0: not said */
-    char *model;      /* NULL: holds no weights */
-    uint64_t version; /* of the model, whole; 0: none */
+    uint64_t born_ms; /* start of this run, Unix time; 0: unknown */
+    char *model;      /* NULL: the engine holds no weights */
+    uint64_t version; /* of the completely loaded model; 0: none */
 } QREngineRecord;
 
 void qr_engine_record_free(QREngineRecord *r);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(QREngineRecord, qr_engine_record_free)
 
-/* What another gateway told of its calls at an engine. */
+/* Calls that another gateway reports to have open at an engine. */
 typedef struct QRGatewayLoad {
-    unsigned open, reading;
+    unsigned open;    /* calls */
+    unsigned reading; /* prompt tokens of calls without a first byte */
     uint64_t reported_ms;
 } QRGatewayLoad;
 
 /*
- * Who keeps count of the slots of an engine: the process beside it, or else one
- * of the gateways, on which all agree.
+ * The coordinator counts the slots of an engine that gateways hold. That is the
+ * engine's sidecar, or else one gateway, which all gateways choose alike.
  */
 typedef enum QRCoordinatorKind {
     QR_COORDINATOR_NONE,
-    QR_COORDINATOR_SIDECAR, /* the process beside the engine */
+    QR_COORDINATOR_SIDECAR, /* the sidecar of the engine */
     QR_COORDINATOR_GATEWAY, /* another gateway */
     QR_COORDINATOR_SELF,    /* this gateway */
 } QRCoordinatorKind;
 
-/* Slots of an engine, as its keeper reserves them for gateways. */
+/* Slots of an engine, which its coordinator reserves for gateways. */
 typedef struct QREngineSlots {
     QRCoordinatorKind coordinator_kind;
     void *coordinator; /* connection to it, of QR_COORDINATOR_SIDECAR and
                           _GATEWAY */
     unsigned requested,
         requested_reading; /* slots asked for, no reply yet; tokens */
-    unsigned others_open, others_reading; /* what other gateways held there, */
-    uint64_t others_reported_ms;          /* as told then; 0: not yet */
-    bool unreported;                /* what we hold is not what we told last */
-    uint64_t reported_ms;           /* when we told it */
-    uint64_t unresponsive_until_ms; /* a request was not answered: not asked */
-    uint64_t denied_until_ms;       /* it had none free a moment ago */
-    uint64_t rate_limited_until_ms; /* its rate allowed no request then */
-    QRAnnouncedLimit limit;         /* that the keeper told */
-    uint64_t others_backoff_until_ms; /* it has turned other gateways away */
+    /* held by other gateways, by the coordinator's last reply */
+    unsigned others_open, others_reading;
+    uint64_t others_reported_ms; /* time of that reply; 0: none */
+    bool unreported;      /* what this gateway holds has changed since its
+                             last report to the coordinator */
+    uint64_t reported_ms; /* time of that report */
+    uint64_t unresponsive_until_ms;   /* set when a request got no reply;
+                                         the coordinator is not asked */
+    uint64_t denied_until_ms;         /* no slot was free */
+    uint64_t rate_limited_until_ms;   /* the rate limit allowed no request */
+    QRAnnouncedLimit limit;           /* as reported by the coordinator */
+    uint64_t others_backoff_until_ms; /* the engine asked other gateways to
+                                         back off */
 } QREngineSlots;
 
 typedef struct QREngine {
     QREngineRecord *record;
-    uint64_t record_changed_ms; /* when the record last changed here */
-    QRPosition position;        /* of its newest record, if any was seen */
-    bool gone;                  /* no record any more; no new calls */
     uint64_t
-        record_expired_ms; /* its record went while the store was away; 0: no */
-    bool unreadable;       /* its newest record is none: no new calls */
-    bool superseded;       /* a later run is at its address: no new calls */
-    bool unconfirmed;    /* from our first listing, and nothing heard since: it
-                            may have ended long ago */
-    unsigned own;        /* calls that we have open there */
-    unsigned reading;    /* prompt tokens of ours whose answer has not begun */
+        record_changed_ms; /* when the record was last updated or dropped */
+    QRPosition position;   /* of the newest record, if any was seen */
+    bool gone;             /* the record was removed: no new calls */
+    uint64_t
+        record_expired_ms; /* the record expired during a store outage; 0: no */
+    bool unreadable;       /* the newest record is malformed: no new calls */
+    bool superseded;       /* another engine has a newer record with the same
+                              address: no new calls */
+    bool unconfirmed;    /* known from the first listing of the store only; the
+                            engine may have ended long ago */
+    unsigned own;        /* calls that this gateway has open there */
+    unsigned reading;    /* prompt tokens of these calls without a first byte */
     GArray *awaiting_ms; /* uint64_t: when calls were sent that have no first
                         byte yet, oldest first */
     unsigned own_reported,
         reading_reported;       /* what the other gateways know of it */
     GHashTable *reported_loads; /* gateway's name -> QRGatewayLoad * */
-    /* told by the sidecar; newer than the record */
+    /* reported by the sidecar; may be newer than the record */
     bool has_sidecar_report, sidecar_switching, sidecar_unreachable,
         sidecar_slow_link;
     uint64_t sidecar_version, sidecar_report_ms;
     QREngineSlots slots;
-    QRNotices notices; /* what this run of it said in its answers */
-    /* from our own calls */
-    unsigned failures; /* in a row, by weight */
+    QRNotices notices; /* response headers of this run */
+    /* circuit breaker and backoff, from this gateway's own calls */
+    unsigned failures; /* in a row, weighted */
     uint64_t ejected_until_ms;
     unsigned ejections;         /* in a row */
-    bool probing;               /* one call is out to see if it works again */
+    bool probing;               /* one call is open to test an ejected engine */
     double first_byte_ms;       /* smoothed time to the first byte */
-    uint64_t refused_until_ms;  /* it said that it is full, or not the one */
-    unsigned misdirected;       /* times in a row that it was not the one */
-    unsigned rejections;        /* rounds of calls in a row, for want of room */
-    uint64_t last_rejection_ms; /* when the last call was */
-    uint64_t deprioritized_until_ms; /* others rather: it may turn more away */
+    uint64_t refused_until_ms;  /* after a response 'full' or 'misdirected' */
+    unsigned misdirected;       /* doublings of the pause so far */
+    unsigned rejections;        /* rounds of calls in a row, engine full */
+    uint64_t last_rejection_ms; /* when a call was last rejected as full */
+    uint64_t deprioritized_until_ms; /* other engines are preferred, as
+                                          this one may reject more calls */
 } QREngine;
 
 typedef struct QREngines {
@@ -99,19 +107,22 @@
     GHashTable *by_service; /* service -> GPtrArray of QREngine * */
 } QREngines;
 
-/* The engine runs anew under its id. */
+/* Change of a record: the engine was restarted under the same id. */
 #define QR_CHANGE_STARTED "started anew"
 
 void qr_engines_init(QREngines *t);
 void qr_engines_clear(QREngines *t);
-/* Takes a record over. Returns what changed, for the log, or NULL. */
+/* Takes ownership of 'r', the new record of its engine. Returns a static text
+   for the log that says what changed, or NULL. */
 const char *qr_engines_update(QREngines *t, QREngineRecord *r, uint64_t now_ms);
-/* The engine's record is gone. Returns false if it was not known. */
+/* Marks an engine as gone, because its record was removed. Returns false if the
+   engine is not known or is gone already. */
 bool qr_engines_drop(QREngines *t, const char *id, uint64_t now_ms);
-/* Ids of those that are not gone and not among 'ids' (a set); borrowed. */
+/* Returns the ids of engines that are not gone and not in the set 'ids'. The
+   caller owns the array, but not the ids. */
 GPtrArray *qr_engines_missing(const QREngines *t, GHashTable *ids);
 QREngine *qr_engines_get(const QREngines *t, const char *id);
-/* The engine at an address, whose record was written last there; or NULL. */
+/* Returns the engine with the newest record for 'address', or NULL. */
 QREngine *qr_engines_at(const QREngines *t, const char *address);
 /*
  * Of all records with the address of 'changed' only the one that was written
@@ -123,59 +134,65 @@
 unsigned qr_engines_supersede_earlier(QREngines *t, QREngine *changed,
                                       bool epochs_unsettled);
 const GPtrArray *qr_engines_of(const QREngines *t, const char *service);
-/* Whether an engine that is not gone was not heard of since our first listing.
- */
+/* Whether any engine that is not gone is known from the first listing only. */
 bool qr_engines_any_unconfirmed(const QREngines *t);
-/* Forgets engines that are gone and carry no call of ours. */
+/* Frees engines that are gone and have no open call of this gateway. An engine
+   that announced its shutdown is kept for some time longer. */
 void qr_engines_sweep(QREngines *t, uint64_t now_ms);
 
-/* What 'gateway' told of its open calls. */
+/* Stores the load that 'gateway' reports for the engine 'id'. */
 void qr_engines_report_load(QREngines *t, const char *id, const char *gateway,
                             const QRGatewayLoad *load);
-/* Nothing that 'gateway' told counts any more. */
+/* Deletes all load reports of 'gateway'. */
+
 void qr_engines_forget_gateway(QREngines *t, const char *gateway);
+/* Calls open at the engine, from all gateways, and slots requested. */
 unsigned qr_engine_open(const QREngine *e);
-/* Calls there of gateways that tell them to all, and not to a keeper. */
+/* Calls of gateways that report to all gateways rather than to a coordinator.
+ */
 unsigned qr_engine_reported_open(const QREngine *e);
-/* Age of the newest word of another gateway's calls there; 0: none came. */
+/* Age of the newest load report of another gateway; 0: there is none. */
 uint64_t qr_engine_report_age_ms(const QREngine *e, uint64_t now_ms);
-/* Prompt tokens still to be read there, at 'per_ms' since they were told. */
+/* Estimate of the prompt tokens that the engine has yet to read. The engine is
+   assumed to read 'per_ms' tokens per ms since each report. */
 double qr_engine_reading(const QREngine *e, double per_ms, uint64_t now_ms);
-/* The slots there have a keeper that answers. */
+/* Whether the engine's slots have a coordinator that responds. */
 bool qr_engine_has_coordinator(const QREngine *e, uint64_t now_ms);
-/* It leaves, as its record says or an answer of it. */
+/* Whether its record or a response announced the engine's shutdown. */
 bool qr_engine_is_leaving(const QREngine *e);
-/* For how long yet engines that turn nobody away are rather taken, as far as we
-   know ourselves. */
+/* Remaining time in ms in which other engines are preferred, from this
+   gateway's own calls alone. */
 uint64_t qr_engine_deprioritized_ms(const QREngine *e, uint64_t now_ms);
-/* Whether they are, as we know it or another gateway told. */
+/* Whether other engines are preferred, from own calls or other gateways. */
 bool qr_engine_is_deprioritized(const QREngine *e, uint64_t now_ms);
-/* The limit on requests there, as we were told or its keeper was. */
+/* The later one of the limits that this gateway and the coordinator know. */
 const QRAnnouncedLimit *qr_engine_limit(const QREngine *e);
-/* What we were told of its limit, or that it has none any more, is for the
-   keeper to know. */
+/* Whether the coordinator must learn the limit that this gateway was told, or
+   that a limit has ended. */
 bool qr_engine_must_report_limit(const QREngine *e);
-/* Calls of ours there, and those for which a slot was asked. */
+/* This gateway's open calls and requested slots, and their prompt tokens. */
 unsigned qr_engine_held(const QREngine *e);
 unsigned qr_engine_held_reading(const QREngine *e);
-/* A call was sent there at 'sent_ms'; its first byte came, or it is over. */
+/* Records that a call was sent at 'sent_ms'. */
 void qr_engine_call_sent(QREngine *e, uint64_t sent_ms);
+/* Records that the call sent at 'sent_ms' got its first byte, or ended. */
 void qr_engine_call_heard(QREngine *e, uint64_t sent_ms);
-/* How long the oldest call there has waited for its first byte. */
+/* Time in ms that the oldest call without a first byte has waited. */
 uint64_t qr_engine_first_byte_wait_ms(const QREngine *e, uint64_t now_ms);
-/* The version of weights that calls begin on there; 0: none, or unknown. */
+/* The version of weights that new calls run on; 0: none, or unknown. */
 uint64_t qr_engine_version(const QREngine *e);
 
-/* How a call at the engine went. */
+/* Result of a call to an engine. */
 typedef enum QREngineOutcome {
-    QR_OUTCOME_GOOD,        /* a whole answer */
-    QR_OUTCOME_ERROR,       /* a whole answer that says that it failed */
-    QR_OUTCOME_FAILURE,     /* a break, no answer, bytes that are none */
-    QR_OUTCOME_FULL,        /* it turned the call away for want of room */
-    QR_OUTCOME_MISDIRECTED, /* another engine has the address, or version */
+    QR_OUTCOME_GOOD,    /* a complete response */
+    QR_OUTCOME_ERROR,   /* a complete response that reports an error */
+    QR_OUTCOME_FAILURE, /* broken connection, no response or a malformed one */
+    QR_OUTCOME_FULL,    /* rejected, as the engine has no free capacity */
+    QR_OUTCOME_MISDIRECTED, /* another engine has this address or version */
 } QREngineOutcome;
 
-/* Returns true if the engine was ejected by this. */
+/* Updates the circuit breaker after a call whose first byte took 'first_ms'.
+   Returns true if the call ejected the engine. */
 bool qr_engine_outcome(QREngine *e, QREngineOutcome outcome, double first_ms,
                        uint64_t now_ms);
 
--- a/src/fleet/qr_fleet_settings.c
+++ b/src/fleet/qr_fleet_settings.c
@@ -55,7 +55,7 @@
 #undef NUMBER
 #undef TEXT_BOTH
 
-/* What single fields cannot tell. */
+/* Checks that involve more than the type and range of one field. */
 static void settings_check(const QRFleetSettings *s, QRFindings *f)
 {
     if (s->platform && !qr_platform_find(s->platform))
--- a/src/fleet/qr_fleet_settings.h
+++ b/src/fleet/qr_fleet_settings.h
@@ -1,5 +1,6 @@
 /*
- * Settings of gateways and sidecars: JSON with comments, checked as a whole.
+ * Settings of gateways and sidecars: a JSON file with comments, all of whose
+ * errors are reported together.
  */
 #ifndef QR_FLEET_SETTINGS_H
 #define QR_FLEET_SETTINGS_H
@@ -8,36 +9,36 @@
 #include "qr_platform.h"
 
 /*
- * DEF(name, min, max, fallback): whole numbers. Times in ms.
- * LIMIT: the same, set by the platform, which may scale it to a fraction.
+ * DEF(name, min, max, fallback): integer setting. Times are in ms.
+ * LIMIT: the same for a setting that the platform may scale to a fraction.
  */
 #define QR_FLEET_SETTINGS_BOTH                                                 \
     LIMIT(descriptors_max, 64, 1048576, 1024) /* sockets of the process */     \
-    LIMIT(version_ms, 500, 3600000, 8000)     /* a named version in force */   \
-    DEF(heartbeat_ms, 20, 10000, 100)         /* to peers */                   \
-    DEF(lease_ms, 100, 600000, 1000) /* a peer unheard so long is away */      \
-    DEF(log_level, 0, 2, 2)          /* 0 errors, 1 warnings, 2 all */
+    LIMIT(version_ms, 500, 3600000,                                            \
+          8000) /* bound for a named version to take effect */                 \
+    DEF(heartbeat_ms, 20, 10000, 100) /* interval, to peers */                 \
+    DEF(lease_ms, 100, 600000, 1000)  /* silence until a peer is down */       \
+    DEF(log_level, 0, 2, 2)           /* 0 errors, 1 warnings, 2 all */
 
 #define QR_FLEET_SETTINGS_SIDECAR                                              \
-    /* of the machine's link that weights may take while calls use it too */   \
+    /* share of the machine's link for weights while calls use the link */     \
     DEF(weights_link_percent, 5, 100, 85)
 
 #define QR_FLEET_SETTINGS_GATEWAY                                              \
-    DEF(address_valid_s, 1, 600, 2)       /* callers keep an address answer */ \
-    DEF(engines_poll_ms, 50, 60000, 1000) /* engines' records in the store */  \
-    DEF(operator_wait_ms, 0, 30000, 2000) /* a read waits for records */       \
-    LIMIT(retry_allowance, 0, 1000000, 10) /* retries a window, all gateways   \
-                                            */
+    DEF(address_valid_s, 1, 600, 2)       /* callers' cache of an address   */ \
+    DEF(engines_poll_ms, 50, 60000, 1000) /* interval of reads of the store */ \
+    DEF(operator_wait_ms, 0, 30000, 2000) /* long poll for records         */  \
+    LIMIT(retry_allowance, 0, 1000000, 10) /* per window, all gateways */
 
 typedef struct QRFleetSettings {
     char *role; /* "gateway" or "sidecar" */
     char *host, *availability_zone, *region;
     char *platform;       /* name of a QRPlatform */
     char *store;          /* ip:port */
-    char *peers;          /* ip:port of our listener for peers */
-    GPtrArray *seeds;     /* ip:port of peers to ask first */
+    char *peers;          /* ip:port of this process's listener for peers */
+    GPtrArray *seeds;     /* ip:port of peers to contact at the start */
     char *metrics;        /* ip:port, or NULL */
-    double grace_s;       /* from SIGTERM to the end */
+    double grace_s;       /* from SIGTERM to the exit */
     json_object *regions; /* zone -> region; owned by 'source' */
     /* gateway */
     char *callers, *directory, *readiness;
@@ -45,7 +46,7 @@
     double retry_window_s;
     /* sidecar */
     char *engine, *service;
-    double link_mbit_s; /* of the machine, each way; 0: not known */
+    double link_mbit_s; /* of the machine, each direction; 0: unknown */
 #define DEF(name, min, max, fallback) int64_t name;
 #define LIMIT DEF
     QR_FLEET_SETTINGS_BOTH QR_FLEET_SETTINGS_GATEWAY QR_FLEET_SETTINGS_SIDECAR
@@ -54,14 +55,16 @@
         json_object *source;
 } QRFleetSettings;
 
-/* NULL if there is any finding. */
+/* Parses settings. Returns NULL if there is any error, and adds each error to
+   'f'. The caller owns the result. */
 QRFleetSettings *qr_fleet_settings_read(const char *text, size_t len,
                                         QRFindings *f);
 void qr_fleet_settings_free(QRFleetSettings *s);
 G_DEFINE_AUTOPTR_CLEANUP_FUNC(QRFleetSettings, qr_fleet_settings_free)
-/* Whether 'text' is meant for a gateway or a sidecar. */
+/* Whether the role in 'text' is gateway or sidecar. */
 bool qr_fleet_settings_recognize(const char *text, size_t len);
-/* zone -> region, both borrowed from 's'. */
+/* Returns a map zone -> region, whose strings 's' owns. The caller owns the
+ * map. */
 GHashTable *qr_fleet_settings_regions(const QRFleetSettings *s);
 
 #endif
--- a/src/fleet/qr_members.c
+++ b/src/fleet/qr_members.c
@@ -1,5 +1,5 @@
 /*
- * Our own processes as this one has heard of them.
+ * The gateways and sidecars that this process knows.
  */
 #include "qr_members.h"
 
@@ -66,7 +66,7 @@
     if (!hello_is_valid(hello))
         return NULL;
     member = g_hash_table_lookup(m->by_name, hello->name);
-    /* hearsay does not replace what the process said itself */
+    /* a relayed message does not replace what the process itself sent */
     if (member && !direct && member->heard_ms > 0)
         return NULL;
     is_new_run = !member || member->incarnation != hello->incarnation;
--- a/src/fleet/qr_members.h
+++ b/src/fleet/qr_members.h
@@ -1,5 +1,5 @@
 /*
- * Our own processes as this one has heard of them.
+ * The gateways and sidecars that this process knows.
  */
 #ifndef QR_MEMBERS_H
 #define QR_MEMBERS_H
@@ -14,23 +14,23 @@
 typedef struct QRFleetMember {
     char *name, *role, *address, *zone, *region, *service_address, *service;
     uint64_t incarnation;
-    uint64_t heard_ms;        /* from itself; 0: only from others */
-    bool listed;              /* a gateway counts it among the sidecars */
-    uint64_t disconnected_ms; /* since when it has no connection; 0: it has */
-    const void *conn;  /* connection on which it greeted us last; not owned */
-    QRKnowledge known; /* of the operator's records */
-    /* gateways: engines' records that they read from the store */
-    uint64_t engines_read_ms; /* when the store last answered; 0: reads none */
-    QRPosition engines_changed; /* of the last change */
-    QRPosition engines_since;   /* it knows all changes from there on */
-    uint64_t load_reported_ms;  /* when it told its load last; 0: none counts */
-    unsigned gateways;          /* how many it knows */
-    unsigned gateways_asked;    /* how many when we asked it for them last */
+    uint64_t heard_ms; /* last message from the member itself; 0: none */
+    bool listed;       /* a gateway lists the member among the sidecars */
+    uint64_t disconnected_ms; /* when its connection was lost; 0: connected */
+    const void *conn;         /* of its last Hello message; not owned */
+    QRKnowledge known; /* which of the operator's records the member has */
+    /* gateways only: state of their reads of engines' records */
+    uint64_t engines_read_ms;   /* last answer of the store; 0: does not read */
+    QRPosition engines_changed; /* position of the last change */
+    QRPosition engines_since;   /* the member knows all changes from here on */
+    uint64_t load_reported_ms;  /* last load report; 0: no valid report */
+    unsigned gateways;          /* number of gateways that the member knows */
+    unsigned gateways_asked; /* that number when the list was last requested */
     bool leaving;
-    bool reserves_slots; /* it said so itself: builds of before do not */
-    /* sidecars, as told */
+    bool reserves_slots; /* in its own Hello; older builds do not set this */
+    /* sidecars only, as reported */
     char *model;
-    uint64_t complete_version; /* version whose pieces it has all */
+    uint64_t complete_version; /* version of which the member has all pieces */
 } QRFleetMember;
 
 typedef struct QRFleetMembers {
@@ -40,23 +40,29 @@
 void qr_members_init(QRFleetMembers *m);
 void qr_members_clear(QRFleetMembers *m);
 /*
- * Takes what a process said of itself ('direct'), or another one of it.
- * Returns the member if that was news, else NULL.
+ * Applies a Hello message, either from the process itself ('direct') or relayed
+ * by another process. Returns the member if it is new or was restarted, else
+ * NULL. A malformed message is ignored, and so is a relayed one for a member
+ * that has sent messages itself.
  */
 QRFleetMember *qr_members_hello(QRFleetMembers *m,
                                 const Qr__Fleet__Hello *hello, bool direct,
                                 uint64_t now_ms);
-/* Forgets a member. Returns false if it was not known. */
+/* Frees a member. Returns false if there is no such member. */
 bool qr_members_remove(QRFleetMembers *m, const char *name);
 QRFleetMember *qr_members_get(const QRFleetMembers *m, const char *name);
+/* Returns a member with this address for peers, or NULL. */
 QRFleetMember *qr_members_at(const QRFleetMembers *m, const char *address);
+/* Records that a message from the member itself arrived. */
 void qr_members_heard(QRFleetMember *member, uint64_t now_ms);
+/* Whether the member itself sent a message within the lease. */
 bool qr_member_alive(const QRFleetMember *member, uint64_t lease_ms,
                      uint64_t now_ms);
-/* Members of 'role', of 'service' if that is not NULL; by name. */
+/* Returns the members with 'role', and with 'service' unless that is NULL,
+   sorted by name. The caller owns the array, but not the members. */
 GPtrArray *qr_members_of(const QRFleetMembers *m, const char *role,
                          const char *service);
-/* Fills a message that borrows the member's texts. */
+/* Fills 'hello', whose strings remain owned by the member. */
 void qr_member_describe(const QRFleetMember *member, Qr__Fleet__Hello *hello);
 
 #endif
--- a/src/fleet/qr_notices.c
+++ b/src/fleet/qr_notices.c
@@ -1,16 +1,18 @@
 /*
- * What one run of an engine has said of itself in its answers.
+ * What one run of an engine announces about itself in its response headers.
  */
 #include "qr_notices.h"
 
-/* Longer rests and higher limits than these are taken for mistakes. */
+/* Longer backoffs and higher limits than these count as malformed. */
 #define RETRY_AFTER_MAX_S 3600
-/* A rest is over later by the engine's clock: its answer was under way, and was
-   read in a turn that had begun before. */
+/* Added to a backoff, which ends later by the engine's clock: the response was
+   in transit, and is stamped with the start of the event loop iteration that
+   read the response. */
 #define BACKOFF_MARGIN_MS 50
 #define LIMIT_MAX_PER_S 1e6
-#define LIMIT_LOG_INTERVAL_MS 1000 /* between two lines on one engine's limit  \
-                                    */
+#define LIMIT_LOG_INTERVAL_MS                                                  \
+    1000 /* between two lines on one engine's limit                            \
+          */
 
 bool qr_announced_limit_update(QRAnnouncedLimit *limit,
                                const QRAnnouncedLimit *latest)
@@ -67,7 +69,7 @@
         !retry_after_malformed &&
         update_backoff(n, answer->retry_after_s, now_ms))
         changes |= QR_NOTICE_BACKOFF;
-    /* a limit that makes no sense is none that has ended */
+    /* a malformed limit does not mean that the limit has ended */
     if ((answer->has_limit || answer->has_no_limit) && !limit_malformed &&
         update_limit(n, answer, sent_ms, now_ms))
         changes |= QR_NOTICE_LIMIT;
--- a/src/fleet/qr_notices.h
+++ b/src/fleet/qr_notices.h
@@ -1,44 +1,44 @@
 /*
- * What one run of an engine has said of itself in its answers, as one gateway
- * knows it: that it leaves, that it wants rest, and how many requests a second
- * it takes. No clock and no I/O: times are the caller's.
+ * What one run of an engine announces about itself in its response headers, as
+ * seen by one gateway: shutdown, backoff and rate limit. The module does no
+ * I/O; the caller passes the time.
  */
 #ifndef QR_NOTICES_H
 #define QR_NOTICES_H
 
 #include "base/qr_base.h"
 
-/* The part of an answer's head that an engine says of itself. */
+/* Response headers that describe the engine rather than the call. */
 typedef struct QRAnswerNotice {
-    bool leaving; /* it ends soon, and wants nothing new */
+    bool leaving; /* the engine shuts down soon and accepts no new calls */
     bool has_limit, has_retry_after;
-    bool has_no_limit;  /* a good answer of the engine itself that names none */
-    double limit_per_s; /* requests that it takes, of all gateways together */
-    double retry_after_s; /* turned away: nothing more from us for so long */
-    const char
-        *malformed_field; /* name of a field that makes no sense, or NULL */
+    bool has_no_limit;    /* success from the engine itself, without a limit */
+    double limit_per_s;   /* requests from all gateways together */
+    double retry_after_s; /* call rejected; this gateway must wait so long */
+    const char *malformed_field; /* name of a malformed header, or NULL */
 } QRAnswerNotice;
 
 /*
- * A rate limit, or that there is none. The later word holds: a limit is as late
- * as its answer, none as late as the request whose answer lacked it, since
- * answers on several connections overtake one another.
+ * A rate limit, or the statement that there is none. The statement with the
+ * later as_of_ms applies. A limit dates from its response. The absence of a
+ * limit dates from the request, because responses on several connections
+ * overtake one another.
  */
 typedef struct QRAnnouncedLimit {
     bool is_set;
     double per_s;
-    uint64_t as_of_ms; /* 0: nothing was ever said */
+    uint64_t as_of_ms; /* 0: nothing was announced yet */
 } QRAnnouncedLimit;
 
 typedef struct QRNotices {
     bool leaving;
-    bool malformed;            /* a field made no sense */
-    uint64_t backoff_until_ms; /* 0: it never wanted any */
+    bool malformed;            /* a header was malformed */
+    uint64_t backoff_until_ms; /* 0: the engine never asked for a backoff */
     QRAnnouncedLimit limit;
     uint64_t limit_logged_ms;
 } QRNotices;
 
-/* What an answer has changed. */
+/* Flags for what a response changed. */
 typedef enum QRNoticeChange {
     QR_NOTICE_LEAVING = 1,
     QR_NOTICE_BACKOFF = 2,
@@ -46,14 +46,15 @@
     QR_NOTICE_MALFORMED = 8,
 } QRNoticeChange;
 
-/* Takes over the later one of two words. Returns true if that changed 'w'. */
-bool qr_announced_limit_update(QRAnnouncedLimit *w,
-                               const QRAnnouncedLimit *news);
-/* Takes what the answer to a request sent at 'sent_ms' says. Returns the set of
-   QRNoticeChange. */
+/* Replaces 'limit' with 'latest' if that is later. Returns true if the limit
+   itself changed, and not only its date. */
+bool qr_announced_limit_update(QRAnnouncedLimit *limit,
+                               const QRAnnouncedLimit *latest);
+/* Applies the response to a request sent at 'sent_ms'. Returns the set of
+   QRNoticeChange that are worth a log line. */
 unsigned qr_notices_update(QRNotices *n, const QRAnswerNotice *answer,
                            uint64_t sent_ms, uint64_t now_ms);
-/* For how long yet it wants nothing more from us. */
+/* Remaining time in ms in which this gateway must not send to the engine. */
 uint64_t qr_notices_backoff_ms(const QRNotices *n, uint64_t now_ms);
 
 #endif
--- a/src/fleet/qr_rate.c
+++ b/src/fleet/qr_rate.c
@@ -1,14 +1,15 @@
 /*
- * The rate at which requests may reach one engine.
+ * Token bucket that limits the requests sent to one engine.
  */
 #include "qr_rate.h"
 
 #include <math.h>
 
-/* Without any request nobody would hear that the limit has ended. */
+/* Lower limits still admit this rate, because only the response to a request
+   can show that the limit has ended. */
 #define MIN_RATE_PER_S 0.2
-/* Of a second's requests, those that may come at once after a pause; a window
-   of some seconds gets hardly more than the rate. */
+/* Burst size after a pause, as seconds of the rate. The value is small to keep
+   the sum over a few seconds close to the rate. */
 #define BURST_S 0.25
 
 static double burst(const QRRate *r)
--- a/src/fleet/qr_slots.c
+++ b/src/fleet/qr_slots.c
@@ -1,27 +1,29 @@
 /*
- * The slots of one engine, reserved by gateways.
+ * The slots of one engine, which a coordinator reserves for gateways.
  */
 #include "qr_slots.h"
 
 #include <math.h>
 
-/* A gateway says what it holds at least each QR_SLOTS_TELL_MS (700 ms): two
-   words may be late or lost. */
+/* A gateway reports its load at least every QR_SLOTS_TELL_MS (700 ms). The
+   lease tolerates two late or lost messages. */
 #define LOAD_LEASE_MS 2000
-/* A first try that was denied so often, here and elsewhere, shows that slots
-   are short; with a third of them free at random engines, fewer than 1 in 100
-   are denied three times. */
+/* A caller's first attempt that was denied so often, by this engine and others,
+   shows a shortage of slots. With a third of the slots free at random engines,
+   fewer than 1 in 100 attempts are denied three times. */
 #define SHORTAGE_DENIALS 3
-/* So long after that, callers who return leave free slots to first tries. */
+/* Time after a shortage in which retries by callers leave free slots to first
+   attempts. */
 #define YIELD_MS 300
-/* Of an engine's time, while prompts wait there; token steps take the rest. 1:
-   0.02 less in aim at what engines carry, in the model of load. */
+/* Share of an engine's time that goes to reading while prompts wait; decoding
+   takes the rest. With a share of 1, the load model meets the objective for
+   0.02 fewer calls at the load that engines can carry. */
 #define READING_TIME_SHARE 0.5
 
 typedef struct Holder {
     QRSlotLoad load;
     uint64_t reported_ms;
-    uint64_t backoff_until_ms; /* the engine wants nothing from it until then */
+    uint64_t backoff_until_ms; /* the engine asked it to back off */
 } Holder;
 
 void qr_slots_init(QRSlots *s)
@@ -81,9 +83,10 @@
 }
 
 /*
- * Prompt tokens that the engine has still to read. Gateways learn that a prompt
- * was read only by the first event, some passes later; until then their sum is
- * too high, and what was granted is taken to be read at the engine's rate.
+ * Estimates the prompt tokens that the engine has yet to read. A gateway learns
+ * that a prompt was read only from the first event, some passes of the engine
+ * later. Until then the sum of the reports is too high, and the prompts of
+ * granted calls are assumed to be read at the engine's rate.
  */
 static double backlog(QRSlots *s, unsigned reported, uint64_t now_ms)
 {
@@ -98,8 +101,9 @@
     return s->backlog;
 }
 
-/* First tries find no slot at this moment: callers who return would take those
-   that fall free, since they wait for them longer. */
+/* Whether a caller's retry must leave a free slot to first attempts. During a
+   shortage, retries would take all slots that become free, because retries wait
+   for slots longer. */
 static bool must_yield(const QRSlots *s, const QRSlotCall *call,
                        uint64_t now_ms)
 {
@@ -130,7 +134,7 @@
 
     load.open += h->load.open;
     load.reading = (unsigned)backlog(s, load.reading + h->load.reading, now_ms);
-    /* an idle engine can do no better, however long the prompt */
+    /* an idle engine accepts a prompt of any length: no wait is shorter */
     if (load.open >= call->max_open ||
         (load.open > 0 && load.reading > call->max_reading)) {
         if (!call->is_caller_retry && call->denials >= SHORTAGE_DENIALS)
@@ -186,7 +190,7 @@
 {
     uint64_t age_ms = MIN(wire->age_ms, now_ms - MIN(now_ms, 1));
 
-    /* from another process: what makes no sense says nothing */
+    /* malformed values from another process are ignored */
     if (!isfinite(wire->per_s) || wire->per_s < 0)
         return (QRAnnouncedLimit){0};
     return (QRAnnouncedLimit){wire->named, wire->per_s, now_ms - age_ms};
