--- a/src/fleet/qr_engines.h
+++ b/src/fleet/qr_engines.h
@@ -43,10 +43,10 @@
 /* Slots of an engine, which its coordinator reserves for gateways. */
 typedef struct QREngineSlots {
     QRCoordinatorKind coordinator_kind;
-    void *coordinator; /* connection to it, of QR_COORDINATOR_SIDECAR and
+    void *coordinator; /* connection, not owned; only for _SIDECAR and
                           _GATEWAY */
-    unsigned requested,
-        requested_reading; /* slots asked for, no reply yet; tokens */
+    /* slots requested but not yet replied to, and their prompt tokens */
+    unsigned requested, requested_reading;
     /* held by other gateways, by the coordinator's last reply */
     unsigned others_open, others_reading;
     uint64_t others_reported_ms; /* time of that reply; 0: none */
@@ -64,23 +64,21 @@
 
 typedef struct QREngine {
     QREngineRecord *record;
-    uint64_t
-        record_changed_ms; /* when the record was last updated or dropped */
-    QRPosition position;   /* of the newest record, if any was seen */
-    bool gone;             /* the record was removed: no new calls */
-    uint64_t
-        record_expired_ms; /* the record expired during a store outage; 0: no */
-    bool unreadable;       /* the newest record is malformed: no new calls */
-    bool superseded;       /* another engine has a newer record with the same
-                              address: no new calls */
+    uint64_t record_changed_ms; /* last update or removal of the record */
+    QRPosition position;        /* of the newest record, if any was seen */
+    bool gone;                  /* the record was removed: no new calls */
+    uint64_t record_expired_ms; /* expired during a store outage; 0: no */
+    bool unreadable;     /* the newest record is malformed: no new calls */
+    bool superseded;     /* another engine has a newer record with the same
+                            address: no new calls */
     bool unconfirmed;    /* known from the first listing of the store only; the
                             engine may have ended long ago */
     unsigned own;        /* calls that this gateway has open there */
     unsigned reading;    /* prompt tokens of these calls without a first byte */
-    GArray *awaiting_ms; /* uint64_t: when calls were sent that have no first
-                        byte yet, oldest first */
-    unsigned own_reported,
-        reading_reported;       /* what the other gateways know of it */
+    GArray *awaiting_ms; /* uint64_t: send times of calls without a first
+                            byte, oldest first */
+    /* own and reading, as last reported to the other gateways */
+    unsigned own_reported, reading_reported;
     GHashTable *reported_loads; /* gateway's name -> QRGatewayLoad * */
     /* reported by the sidecar; may be newer than the record */
     bool has_sidecar_report, sidecar_switching, sidecar_unreachable,
@@ -125,14 +123,15 @@
 /* Returns the engine with the newest record for 'address', or NULL. */
 QREngine *qr_engines_at(const QREngines *t, const char *address);
 /*
- * Of all records with the address of 'changed' only the one that was written
- * last is of an engine that runs: the others stand in the store until their
- * leases run out. Returns how many engines have ended. While 'epochs_unsettled'
- * a record of a later epoch may be the older one, and ends none of an earlier
- * epoch.
+ * Marks engines as superseded that share the address of 'changed' with a newer
+ * record. Only the newest record for an address belongs to a running engine;
+ * the others remain in the store until their leases expire. Returns the number
+ * of engines marked. While 'epochs_unsettled' is set, a record of a later epoch
+ * may be the older one, and supersedes no record of an earlier epoch.
  */
 unsigned qr_engines_supersede_earlier(QREngines *t, QREngine *changed,
                                       bool epochs_unsettled);
+/* Returns the engines of 'service', owned by 't', or NULL if none is known. */
 const GPtrArray *qr_engines_of(const QREngines *t, const char *service);
 /* Whether any engine that is not gone is known from the first listing only. */
 bool qr_engines_any_unconfirmed(const QREngines *t);
--- a/src/fleet/qr_fleet_settings.h
+++ b/src/fleet/qr_fleet_settings.h
@@ -14,11 +14,10 @@
  */
 #define QR_FLEET_SETTINGS_BOTH                                                 \
     LIMIT(descriptors_max, 64, 1048576, 1024) /* sockets of the process */     \
-    LIMIT(version_ms, 500, 3600000,                                            \
-          8000) /* bound for a named version to take effect */                 \
-    DEF(heartbeat_ms, 20, 10000, 100) /* interval, to peers */                 \
-    DEF(lease_ms, 100, 600000, 1000)  /* silence until a peer is down */       \
-    DEF(log_level, 0, 2, 2)           /* 0 errors, 1 warnings, 2 all */
+    LIMIT(version_ms, 500, 3600000, 8000)     /* until a version is live */    \
+    DEF(heartbeat_ms, 20, 10000, 100)         /* interval, to peers */         \
+    DEF(lease_ms, 100, 600000, 1000) /* silence until a peer is down */        \
+    DEF(log_level, 0, 2, 2)          /* 0 errors, 1 warnings, 2 all */
 
 #define QR_FLEET_SETTINGS_SIDECAR                                              \
     /* share of the machine's link for weights while calls use the link */     \
--- a/src/fleet/qr_notices.c
+++ b/src/fleet/qr_notices.c
@@ -10,9 +10,7 @@
    read the response. */
 #define BACKOFF_MARGIN_MS 50
 #define LIMIT_MAX_PER_S 1e6
-#define LIMIT_LOG_INTERVAL_MS                                                  \
-    1000 /* between two lines on one engine's limit                            \
-          */
+#define LIMIT_LOG_INTERVAL_MS 1000 /* between log lines per engine */
 
 bool qr_announced_limit_update(QRAnnouncedLimit *limit,
                                const QRAnnouncedLimit *latest)
--- a/src/fleet/qr_slots.c
+++ b/src/fleet/qr_slots.c
@@ -16,8 +16,8 @@
    attempts. */
 #define YIELD_MS 300
 /* Share of an engine's time that goes to reading while prompts wait; decoding
-   takes the rest. With a share of 1, the load model meets the objective for
-   0.02 fewer calls at the load that engines can carry. */
+   takes the rest. With a share of 1, the load model has 0.02 less of the calls
+   in aim at the load that the engines can carry. */
 #define READING_TIME_SHARE 0.5
 
 typedef struct Holder {
--- a/src/fleet/qr_slots.h
+++ b/src/fleet/qr_slots.h
@@ -32,12 +32,11 @@
     GHashTable *held; /* gateway's name -> Holder *, private to qr_slots.c */
     uint64_t shortage_ms; /* a caller's first attempt last found no slot here,
                              nor at other engines before; 0: never */
-    double read_per_ms;   /* prompt tokens that the engine reads; 0: unknown */
+    double read_per_ms; /* prompt tokens the engine reads per ms; 0: unknown */
     double backlog; /* unread prompt tokens of granted calls, at backlog_ms */
     uint64_t backlog_ms;
-    QRAnnouncedLimit
-        limit;   /* the latest that the engine announced to any gateway */
-    QRRate rate; /* valid while limit.is_set */
+    QRAnnouncedLimit limit;            /* the latest announced to any gateway */
+    QRRate rate;                       /* valid while limit.is_set */
     uint64_t granted, denied, yielded; /* counters; yielded: denied in favour
                                           of callers' first attempts */
     uint64_t rate_limited;             /* denied for the rate limit alone */
@@ -62,8 +61,7 @@
                      uint64_t now_ms);
 /* Deletes the load of 'gateway'. */
 void qr_slots_drop(QRSlots *s, const char *gateway);
-/* Reserves a slot for a call of 'gateway'. Returns false if the call is denied.
- */
+/* Reserves a slot for a call of 'gateway'. Returns false if denied. */
 bool qr_slots_reserve(QRSlots *s, const char *gateway, const QRSlotCall *call,
                       uint64_t now_ms);
 /* Load held by all gateways other than 'gateway'. */
--- a/tests/unit_entries.c
+++ b/tests/unit_entries.c
@@ -1,6 +1,6 @@
 /*
- * Engines' records as the platform's store holds them, good and odd. The
- * strings below are those of its pages.
+ * Tests of the parser for engines' records in the platform's store, with valid
+ * and malformed records. Keys and values follow the platform's documentation.
  */
 #include "unit_entries.h"
 
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define FUZZED 20000
+#define FUZZ_RUNS 20000
 
 static const char good[] =
     "{\"service\":\"s\",\"address\":\"10.1.0.9:8080\",\"zone\":\"z\","
@@ -34,7 +34,7 @@
     return r;
 }
 
-START_TEST(entries_good)
+START_TEST(parses_valid_record)
 {
     g_autoptr(QREngineRecord) r = parse(good, strlen(good), NULL);
 
@@ -46,10 +46,10 @@
 }
 END_TEST
 
-/* What stands in the good one, what stands instead, where the finding is. */
+/* Text of the valid record, its replacement, and text of the expected error. */
 static const struct {
-    const char *there, *instead, *place;
-} odd[] = {
+    const char *original, *replacement, *error;
+} malformed[] = {
     {"\"slots\":16", "\"slots\":0", "slots"},
     {"\"slots\":16", "\"slots\":99999999999999999999", "slots"},
     {"\"slots\":16", "\"slots\":1e2", "slots"},
@@ -62,34 +62,35 @@
     {"\"service\":\"s\"", "\"service\":\"\"", "service"},
 };
 
-START_TEST(entries_odd)
+START_TEST(rejects_malformed_record)
 {
-    g_auto(GStrv) parts = g_strsplit(good, odd[_i].there, 2);
+    g_auto(GStrv) parts = g_strsplit(good, malformed[_i].original, 2);
     g_autofree char *text =
-        g_strconcat(parts[0], odd[_i].instead, parts[1], NULL);
+        g_strconcat(parts[0], malformed[_i].replacement, parts[1], NULL);
     g_autofree char *finding = NULL;
 
     ck_assert_ptr_null(parse(text, strlen(text), &finding));
-    ck_assert_msg(strstr(finding, odd[_i].place) != NULL, "%s", finding);
+    ck_assert_msg(strstr(finding, malformed[_i].error) != NULL, "%s", finding);
 }
 END_TEST
 
-/* Bytes changed, cut out, doubled: whatever is taken is sound. */
-START_TEST(entries_fuzzed)
+/* Changes, removes and duplicates bytes. A record that is accepted must have
+   valid fields. */
+START_TEST(fuzzed_records_are_rejected_or_valid)
 {
-    GRand *dice = g_rand_new_with_seed(5);
+    GRand *rng = g_rand_new_with_seed(5);
 
-    for (unsigned n = 0; n < FUZZED; n++) {
+    for (unsigned n = 0; n < FUZZ_RUNS; n++) {
         g_autoptr(GString) text = g_string_new(good);
 
-        for (int i = g_rand_int_range(dice, 1, 5); i > 0; i--) {
-            gssize at = g_rand_int_range(dice, 0, (int)text->len);
-            gssize len = g_rand_int_range(dice, 0, 12);
+        for (int i = g_rand_int_range(rng, 1, 5); i > 0; i--) {
+            gssize at = g_rand_int_range(rng, 0, (int)text->len);
+            gssize len = g_rand_int_range(rng, 0, 12);
 
             len = MIN(len, (gssize)text->len - at);
-            if (g_rand_boolean(dice))
-                text->str[at] = (char)g_rand_int_range(dice, 0, 256);
-            else if (g_rand_boolean(dice) && (gsize)len < text->len)
+            if (g_rand_boolean(rng))
+                text->str[at] = (char)g_rand_int_range(rng, 0, 256);
+            else if (g_rand_boolean(rng) && (gsize)len < text->len)
                 g_string_erase(text, at, len);
             else
                 g_string_insert_len(text, at, good + at % 100, len);
@@ -101,18 +102,18 @@
         ck_assert(r->slots >= 1 && *r->service && qr_address_ok(r->address));
         ck_assert(g_utf8_validate(r->zone, -1, NULL));
     }
-    g_rand_free(dice);
+    g_rand_free(rng);
 }
 END_TEST
 
-static uint64_t asleep_ms;
+static uint64_t suspension_ms;
 
 static uint64_t suspended_ms(void)
 {
-    return asleep_ms;
+    return suspension_ms;
 }
 
-START_TEST(clock_counts_suspensions)
+START_TEST(clock_counts_suspended_time)
 {
     uv_loop_t loop;
     uint64_t before;
@@ -120,12 +121,13 @@
     uv_loop_init(&loop);
     qr_clock_set_source(suspended_ms);
     before = qr_clock_ms(&loop);
-    asleep_ms = 5000;
-    ck_assert_uint_eq(qr_clock_ms(&loop), before); /* within one round */
+    suspension_ms = 5000;
+    ck_assert_uint_eq(qr_clock_ms(&loop),
+                      before); /* within one loop iteration */
     g_usleep(3000);
     uv_update_time(&loop);
     ck_assert_uint_ge(qr_clock_ms(&loop), before + 5000);
-    asleep_ms = 0; /* it never goes back */
+    suspension_ms = 0; /* the clock never goes back */
     g_usleep(3000);
     uv_update_time(&loop);
     ck_assert_uint_ge(qr_clock_ms(&loop), before + 5000);
@@ -138,9 +140,10 @@
 {
     TCase *t = tcase_create("entries");
 
-    tcase_add_test(t, entries_good);
-    tcase_add_loop_test(t, entries_odd, 0, (int)G_N_ELEMENTS(odd));
-    tcase_add_test(t, entries_fuzzed);
-    tcase_add_test(t, clock_counts_suspensions);
+    tcase_add_test(t, parses_valid_record);
+    tcase_add_loop_test(t, rejects_malformed_record, 0,
+                        (int)G_N_ELEMENTS(malformed));
+    tcase_add_test(t, fuzzed_records_are_rejected_or_valid);
+    tcase_add_test(t, clock_counts_suspended_time);
     return t;
 }
--- a/tests/unit_entries.h
+++ b/tests/unit_entries.h
@@ -1,5 +1,5 @@
 /*
- * Unit tests and a short fuzz of engines' records.
+ * Unit tests and a short fuzz test of the parser for engines' records.
  */
 #ifndef UNIT_ENTRIES_H
 #define UNIT_ENTRIES_H
--- a/tests/unit_notices.c
+++ b/tests/unit_notices.c
@@ -1,6 +1,7 @@
 /*
- * Unit tests of what engines say in their answers: decoded, believed, and kept
- * by all gateways together.
+ * Unit tests of what engines announce in response headers (shutdown, backoff
+ * and rate limit): how a gateway decodes and applies the headers, and how all
+ * gateways together respect them.
  */
 #include "unit_notices.h"
 
@@ -26,7 +27,7 @@
     return notice;
 }
 
-START_TEST(notices_are_decoded)
+START_TEST(decodes_notices)
 {
     const char *const all[] = {"server-limit",   "2.25", "Retry-After", "1.5",
                                "Server-Leaving", "1",    NULL};
@@ -37,9 +38,9 @@
     ck_assert_double_eq(n.limit_per_s, 2.25);
     ck_assert_double_eq(n.retry_after_s, 1.5);
     ck_assert_ptr_null(n.malformed_field);
-    /* only who is turned away is asked for rest */
+    /* a backoff needs a response that rejects the call */
     ck_assert(!parse(200, all).has_retry_after);
-    /* nor is one team that has asked for too much the engine's state */
+    /* status 429 is about one team's quota, not about the engine */
     ck_assert(!parse(429, all).has_retry_after);
     n = parse(200, none);
     ck_assert(!n.leaving && !n.has_limit && !n.has_retry_after &&
@@ -47,8 +48,9 @@
 }
 END_TEST
 
-/* The lack of a limit is a word, too, but not of whoever else answers there. */
-START_TEST(notices_of_others_end_no_limit)
+/* A response without a limit ends the limit, but only if the response is from
+   the engine itself and not from something else at its address. */
+START_TEST(only_the_engine_itself_ends_its_limit)
 {
     const char *const good[] = {"X-Server-Signature", "s", NULL};
     const char *const named[] = {"X-Server-Signature", "s", "Server-Limit", "?",
@@ -66,8 +68,9 @@
 }
 END_TEST
 
-/* One engine's nonsense must neither slow its service nor end a limit. */
-START_TEST(notices_that_make_no_sense)
+/* Malformed headers of one engine must neither slow its service nor end a
+   limit. */
+START_TEST(rejects_malformed_notices)
 {
     static const char *const odd[] = {"-1",
                                       "many",
@@ -96,12 +99,12 @@
 }
 END_TEST
 
-START_TEST(notices_odd_ones_change_nothing)
+START_TEST(malformed_notices_change_nothing)
 {
     QRAnswerNotice limit = {.has_limit = true, .limit_per_s = 2};
     QRAnswerNotice odd = {.malformed_field = "Server-Limit"};
-    QRAnswerNotice century = {.has_retry_after = true, .retry_after_s = 1e12};
-    QRAnswerNotice absurd = {.has_limit = true, .limit_per_s = 1e300};
+    QRAnswerNotice too_long = {.has_retry_after = true, .retry_after_s = 1e12};
+    QRAnswerNotice too_high = {.has_limit = true, .limit_per_s = 1e300};
     QRNotices n = {0};
 
     ck_assert_uint_eq(qr_notices_update(&n, &limit, 900, 1000),
@@ -109,16 +112,16 @@
     ck_assert_uint_eq(qr_notices_update(&n, &odd, 2000, 2100),
                       QR_NOTICE_MALFORMED);
     ck_assert_uint_eq(qr_notices_update(&n, &odd, 2000, 2200), 0);
-    ck_assert_uint_eq(qr_notices_update(&n, &century, 900, 2300), 0);
-    ck_assert_uint_eq(qr_notices_update(&n, &absurd, 2000, 2400), 0);
+    ck_assert_uint_eq(qr_notices_update(&n, &too_long, 900, 2300), 0);
+    ck_assert_uint_eq(qr_notices_update(&n, &too_high, 2000, 2400), 0);
     ck_assert(n.limit.is_set && n.limit.per_s == 2);
     ck_assert_uint_eq(qr_notices_backoff_ms(&n, 2500), 0);
 }
 END_TEST
 
-/* An answer without a limit ends it only if its request was sent after the
-   limit was heard of: answers overtake one another. */
-START_TEST(notices_limits_end_in_order)
+/* A response without a limit ends the limit only if its request was sent after
+   the limit arrived, because responses overtake one another. */
+START_TEST(limits_end_in_request_order)
 {
     QRAnswerNotice limit = {.has_limit = true, .limit_per_s = 2};
     QRAnswerNotice none = {.has_no_limit = true};
@@ -129,13 +132,13 @@
     ck_assert(n.limit.is_set);
     qr_notices_update(&n, &none, 1001, 1300);
     ck_assert(!n.limit.is_set);
-    /* one that was named in an answer to an earlier request holds again */
+    /* a limit in a later response to an earlier request applies again */
     qr_notices_update(&n, &limit, 990, 1400);
     ck_assert(n.limit.is_set);
 }
 END_TEST
 
-START_TEST(rate_over_windows)
+START_TEST(rate_holds_in_each_window)
 {
     static const double rates[] = {0, 0.7, 2.2, 5, 40};
     enum { WINDOW_MS = 4000, RUN_MS = 40000 };
@@ -148,22 +151,22 @@
         qr_rate_set(&r, rates[i], 1);
         ck_assert(!qr_rate_take(&r, 1));
         for (unsigned t = 1; t <= RUN_MS; t++) {
-            /* asked all the time, but for a pause that saves some up */
+            /* steady requests, with one pause in which the bucket fills */
             sent[t] =
                 sent[t - 1] + ((t < 9000 || t > 20000) && qr_rate_take(&r, t));
             if (t > WINDOW_MS)
                 ck_assert_double_le(sent[t] - sent[t - WINDOW_MS],
                                     most + MAX(1, rates[i] / 4) + 1);
         }
-        /* it is used, too */
+        /* the rate must also be used */
         ck_assert_double_ge(sent[9000], MAX(rates[i], 0.2) * 9 - 2);
         ck_assert_double_ge(sent[RUN_MS], MAX(rates[i], 0.2) * 29 - 2);
     }
 }
 END_TEST
 
-/* Frames come from other processes. */
-START_TEST(limits_heard_make_sense)
+/* Messages from other processes may be malformed. */
+START_TEST(rejects_malformed_limit_messages)
 {
     Qr__Fleet__RateLimit told = QR__FLEET__RATE_LIMIT__INIT;
 
@@ -193,9 +196,9 @@
     return r;
 }
 
-/* The store may be away when an engine says that it leaves: its record lapses
-   and comes back, ready as before. */
-START_TEST(notices_of_leaving_outlast_the_record)
+/* During a store outage the record of an engine that announced its shutdown
+   expires and comes back as ready. The gateway must still send no new calls. */
+START_TEST(leaving_outlasts_the_record)
 {
     QRAnswerNotice leaving = {.leaving = true};
     QREngines t;
@@ -207,7 +210,7 @@
     qr_engines_sweep(&t, 60000);
     qr_engines_update(&t, record_of(7), 61000);
     ck_assert(qr_engines_get(&t, "e1")->notices.leaving);
-    /* another run of it has said nothing */
+    /* a new run has announced nothing */
     qr_engines_update(&t, record_of(8), 62000);
     ck_assert(!qr_engines_get(&t, "e1")->notices.leaving);
     qr_notices_update(&qr_engines_get(&t, "e1")->notices, &leaving, 62000,
@@ -219,36 +222,37 @@
 }
 END_TEST
 
-/* What one gateway was turned away for is told by the keeper, and no more than
-   a hint to the others: the engine may mean that one alone. */
-START_TEST(slots_rests_are_told_to_others)
+/* The coordinator reports one gateway's backoff to the others, which may ignore
+   the backoff: the engine may mean that gateway alone. */
+START_TEST(coordinator_reports_backoff_to_others)
 {
-    Qr__Fleet__SlotRequest word = QR__FLEET__SLOT_REQUEST__INIT;
-    Qr__Fleet__SlotRequest wish = QR__FLEET__SLOT_REQUEST__INIT;
+    Qr__Fleet__SlotRequest report = QR__FLEET__SLOT_REQUEST__INIT;
+    Qr__Fleet__SlotRequest slot_request = QR__FLEET__SLOT_REQUEST__INIT;
     QRSlotReply reply;
     QRSlots s;
 
     qr_slots_init(&s);
-    word.rest_ms = 3000;
-    ck_assert(!qr_slots_request(&s, "a", &word, 1000, &reply));
-    wish.call = 1;
-    wish.open_most = 4;
-    wish.reading_most = 1000;
-    wish.heeds_rest = true;
-    ck_assert(qr_slots_request(&s, "b", &wish, 1500, &reply));
+    report.rest_ms = 3000;
+    ck_assert(!qr_slots_request(&s, "a", &report, 1000, &reply));
+    slot_request.call = 1;
+    slot_request.open_most = 4;
+    slot_request.reading_most = 1000;
+    slot_request.heeds_rest = true;
+    ck_assert(qr_slots_request(&s, "b", &slot_request, 1500, &reply));
     ck_assert(!reply.head.granted);
     ck_assert_uint_eq(reply.head.rest_ms, 2500);
-    wish.heeds_rest = false;
-    ck_assert(qr_slots_request(&s, "b", &wish, 1500, &reply));
-    ck_assert(reply.head.granted); /* as builds of before, which know no rest */
-    wish.heeds_rest = true;
-    ck_assert(qr_slots_request(&s, "b", &wish, 4000, &reply));
+    slot_request.heeds_rest = false;
+    ck_assert(qr_slots_request(&s, "b", &slot_request, 1500, &reply));
+    ck_assert(
+        reply.head.granted); /* like older builds, which ignore backoffs */
+    slot_request.heeds_rest = true;
+    ck_assert(qr_slots_request(&s, "b", &slot_request, 4000, &reply));
     ck_assert(reply.head.granted);
     qr_slots_clear(&s);
 }
 END_TEST
 
-/* Engines of one service, and a call that looks for one of them. */
+/* Engines of one service, and the input of a call that chooses one. */
 typedef struct Choice {
     QREngines engines;
     GHashTable *regions;
@@ -274,7 +278,7 @@
     qr_engines_clear(&c->engines);
 }
 
-START_TEST(balance_leaves_an_engine_its_rest)
+START_TEST(balance_respects_backoff)
 {
     QRAnswerNotice rest = {.has_retry_after = true, .retry_after_s = 3};
     QRBalanceChoice found;
@@ -286,7 +290,7 @@
     qr_notices_update(&e->notices, &rest, 1900, 2000);
     found = qr_balance_choose(&c.engines, &c.in);
     ck_assert_ptr_null(found.engine);
-    /* and the caller can be told for how long */
+    /* the caller can be told when to retry */
     ck_assert_uint_ge(found.held_off_ms, 3000);
     ck_assert_uint_lt(found.held_off_ms, 3500);
     ck_assert(!qr_balance_of(e, &c.in, &found));
@@ -294,7 +298,7 @@
     found = qr_balance_choose(&c.engines, &c.in);
     ck_assert_ptr_eq(found.engine, e);
     ck_assert_uint_eq(found.held_off_ms, 0);
-    /* one that has turned others away is taken if there is no other */
+    /* an engine that others back off from is used if it is the only one */
     e->slots.others_backoff_until_ms = c.in.now_ms + 1000;
     found = qr_balance_choose(&c.engines, &c.in);
     ck_assert(found.engine == e && found.despite_rest);
@@ -302,7 +306,7 @@
 }
 END_TEST
 
-START_TEST(balance_needs_a_keeper_for_a_limit)
+START_TEST(balance_needs_a_coordinator_for_a_limit)
 {
     QRAnswerNotice limit = {.has_limit = true, .limit_per_s = 2};
     QRBalanceChoice found;
@@ -316,7 +320,7 @@
     e->slots.coordinator_kind = QR_COORDINATOR_SELF;
     found = qr_balance_choose(&c.engines, &c.in);
     ck_assert(found.engine == e && found.is_reserved);
-    /* repeats ask nobody */
+    /* an unreserved call asks no coordinator */
     c.in.unreserved = true;
     ck_assert_ptr_null(qr_balance_choose(&c.engines, &c.in).engine);
     c.in.unreserved = false;
@@ -334,16 +338,16 @@
 {
     TCase *t = tcase_create("notices");
 
-    tcase_add_test(t, notices_are_decoded);
-    tcase_add_test(t, notices_of_others_end_no_limit);
-    tcase_add_test(t, notices_that_make_no_sense);
-    tcase_add_test(t, notices_odd_ones_change_nothing);
-    tcase_add_test(t, notices_limits_end_in_order);
-    tcase_add_test(t, rate_over_windows);
-    tcase_add_test(t, limits_heard_make_sense);
-    tcase_add_test(t, notices_of_leaving_outlast_the_record);
-    tcase_add_test(t, slots_rests_are_told_to_others);
-    tcase_add_test(t, balance_leaves_an_engine_its_rest);
-    tcase_add_test(t, balance_needs_a_keeper_for_a_limit);
+    tcase_add_test(t, decodes_notices);
+    tcase_add_test(t, only_the_engine_itself_ends_its_limit);
+    tcase_add_test(t, rejects_malformed_notices);
+    tcase_add_test(t, malformed_notices_change_nothing);
+    tcase_add_test(t, limits_end_in_request_order);
+    tcase_add_test(t, rate_holds_in_each_window);
+    tcase_add_test(t, rejects_malformed_limit_messages);
+    tcase_add_test(t, leaving_outlasts_the_record);
+    tcase_add_test(t, coordinator_reports_backoff_to_others);
+    tcase_add_test(t, balance_respects_backoff);
+    tcase_add_test(t, balance_needs_a_coordinator_for_a_limit);
     return t;
 }
--- a/tests/unit_notices.h
+++ b/tests/unit_notices.h
@@ -1,5 +1,5 @@
 /*
- * Unit tests of what engines say in their answers.
+ * Unit tests of what engines announce in response headers.
  */
 #ifndef UNIT_NOTICES_H
 #define UNIT_NOTICES_H
