--- a/tests/engine_notices.py
+++ b/tests/engine_notices.py
@@ -1,36 +1,37 @@
-"""Engines that say in their answers what they take, on real gateways.
+"""Runs real gateways against engines that announce limits in response headers.
 
     engine_notices.py [--gateways N] [--engines N] [--seconds S] [--seed N]
                       [--says NAME] [--course NAME] [--path PATH] [--beside]
                       [--all]
 
-A third of the engines (one, where it leaves) begin to say something after
-BEGIN_S; the store hears nothing of it. Callers go on at any gateway. Prints the
-worst case of each promise, of all engines, and what became of the callers.
+A third of the engines (a single one for "leaving") start to announce something
+after BEGIN_S, but do not change their records in the store. Callers send calls to
+random gateways throughout. Prints the worst case of each check over all engines,
+and the results of the calls.
 
-What they say:
+Announcements (--says):
 
     limit     a rate limit of 2.2 requests a second
     zero      a limit of 0
     changes   a limit of 8, then 2.2, then 5, then none
-    leaving   one leaves
-    rest      503 and 3 s of rest to all
-    some      503 and 1.5 s of rest to three in ten
-    shed      503 to all, and nothing of rest
-    shed_some 503 to four in ten
-    odd       numbers that make no sense
+    leaving   one engine shuts down
+    rest      503 and Retry-After: 3 to all requests
+    some      503 and Retry-After: 1.5 to three requests in ten
+    shed      503 to all requests, without Retry-After
+    shed_some 503 to four requests in ten, without Retry-After
+    odd       malformed header values
     nothing   nothing, for comparison
 
-Courses, from then on:
+Faults from then on (--course):
 
-    calm      nothing else happens
+    calm      none
     late      half of the gateways start now
     kills     gateways are killed and started again, one after the other
     kill_all  all of them at once, after CONTACT_S
-    freezes   gateways stand still for 1 s, one after the other
+    freezes   gateways are suspended for 1 s, one after the other
     cuts      links between gateways are cut for 2 s, one gateway at a time
 
---beside: the engines have a process beside them. --all: all engines speak.
+--beside: each engine has a sidecar. --all: all engines announce.
 """
 import argparse
 import math
@@ -47,16 +48,16 @@
 from standin_platform import (Engine, answer, events, send_chunk,
                               start_stream, stream_from)
 
-WORK_S = 0.04        # of a request
-EVENTS = 6           # of a stream
+WORK_S = 0.04        # of processing per request
+EVENTS = 6           # per stream
 CALLERS = 16
-BEGIN_S = 1.0        # of the run, before anything is said
-CONTACT_S = 3.0      # for the word of a limit to go round
-HEARD_S = 0.5        # for one gateway to act on what it was told
-WINDOW_S = 4.0       # over which a limit is summed
-DRAIN_S = 2.0        # after which nothing more reaches an engine that leaves
-REST_MOST = 2        # requests that may reach an engine in one rest
-ODD_TURNED_AWAY = 0.2  # of the answers that name an odd rest
+BEGIN_S = 1.0        # before the first announcement
+CONTACT_S = 3.0      # for a limit to reach all gateways
+HEARD_S = 0.5        # for one gateway to apply an announcement
+WINDOW_S = 4.0       # over which requests are counted against a limit
+DRAIN_S = 2.0        # after which an engine that shuts down gets no requests
+REST_MOST = 2        # requests that may reach an engine in one backoff
+ODD_TURNED_AWAY = 0.2  # share of responses with a malformed Retry-After
 ODD = (("Server-Limit", "-1"), ("Server-Limit", "many"), ("Server-Limit", ""),
        ("Server-Limit", "nan"), ("Server-Limit", "1e400"),
        ("Server-Limit", "1\r\nServer-Limit: 2"), ("Server-Leaving", "maybe"),
@@ -65,7 +66,7 @@
 
 
 def limits(says, since_s):
-    """The limit that an engine names 'since_s' after it began; None: none."""
+    """The limit announced 'since_s' after the start of announcements, or None."""
     if says == "limit":
         return 2.2
     if says == "zero":
@@ -76,15 +77,15 @@
 
 
 class SpeakingEngine(Engine):
-    """Has few slots, turns away what it has none for, and says things."""
+    """Rejects requests beyond its few slots, and announces what self.says names."""
 
     def __init__(self, ident, service, model):
         self.running, self.begun = 0, 0.0
         self.says = "nothing"
         self.arrived = []  # (when, gateway)
         self.named = []    # (when, gateway, limit or None)
-        self.left = []     # (when, gateway), told that it leaves
-        self.rests = []    # (when, gateway, how long)
+        self.left = []     # (when, gateway) of announced shutdowns
+        self.rests = []    # (when, gateway, seconds)
         self.dice = random.Random(ident)
         super().__init__(ident, service, model, 1 if model else 0)
 
@@ -113,7 +114,7 @@
                 self.running -= 1
 
     def words(self, now, gateway):
-        """Fields of any answer, and of one that turns the request away."""
+        """Headers of every response, and headers of a rejection."""
         since = now - self.begun
         limit = limits(self.says, since)
         self.named.append((now, gateway, limit))
@@ -172,7 +173,7 @@
 
 class NoticeCallers(SteadyCallers):
     def __init__(self, fleet, seed, path):
-        self.refused_s, self.back_s = [], []  # how long it took, until when
+        self.refused_s, self.back_s = [], []  # time to the 503, its Retry-After
         super().__init__(fleet, seed, path, CALLERS)
 
     def call(self, number, n, dice):
@@ -189,7 +190,7 @@
 
 
 class Course:
-    """What else happens once engines speak."""
+    """Injects faults while engines announce."""
 
     def __init__(self, fleet, name):
         self.fleet, self.over = fleet, False
@@ -235,18 +236,18 @@
                     self.fleet.all_again)
 
     def excused(self, gateway, now):
-        """It was struck a moment ago."""
+        """Whether a fault hit the gateway a moment ago."""
         return any(begun <= now <= end + CONTACT_S
                    for begun, end in self.struck.get(gateway, []))
 
     def last_end(self, gateway, now):
-        """When it was struck last before 'now'."""
+        """End of the last fault at the gateway that began before 'now'."""
         return max((end for begun, end in self.struck.get(gateway, [])
                     if begun <= now), default=0.0)
 
 
 def worst_limit(engine, course):
-    """The most that came in WINDOW_S, as a part of what the limit allows."""
+    """The most requests in WINDOW_S, as a fraction of what the limit allows."""
     first = min((t for t, _, limit in engine.named if limit is not None),
                 default=None)
     if first is None:
@@ -257,7 +258,7 @@
         begin = end - WINDOW_S
         if begin < first + CONTACT_S:
             continue
-        # what it named when it was asked, and a moment before
+        # limits announced in the window and a moment before
         inside = [limit for t, _, limit in engine.named
                   if begin - HEARD_S <= t <= end]
         if None in inside:
@@ -271,7 +272,7 @@
 
 
 def worst_leaving(engine, course):
-    """How long after a gateway was told did it send still."""
+    """The longest time for which a gateway sent requests after the announcement."""
     worst = 0.0
     for gateway in {g for _, g in engine.left}:
         for t, g in engine.arrived:
@@ -284,7 +285,7 @@
 
 
 def worst_rest(engine, course):
-    """The most requests of a gateway in one rest."""
+    """The most requests from one gateway in one backoff."""
     return max((sum(g == gateway and at + HEARD_S < t < at + rest and
                     not course.excused(g, t) for t, g in engine.arrived)
                 for at, gateway, rest in engine.rests), default=0)
--- a/tests/test_engine_notices.py
+++ b/tests/test_engine_notices.py
@@ -1,13 +1,11 @@
-"""Engines that say in their answers that they leave, want rest, or take only so
-many requests a second.
-
-Seen: an engine that named a limit of 2.2 a second got 24 requests in 4 s; one that
-left got calls 2.9 s after it had said so, while the store was silent; one that had
-asked for 3 s of rest got 19 requests from the same gateway in that time.
-Cause: of an answer's head only what concerns the call was read. All that was
-believed of an engine came from the store, the process beside it and the fate of
-calls.
-Proof: the runs below, on the program as it was.
+"""Gateways respect what engines announce in response headers: shutdown, backoff
+and rate limit.
+
+Guards against gateways that ignore these headers and know engines only from the
+store, from sidecars and from the results of calls. Such gateways sent 24 requests
+in 4 s to an engine with a limit of 2.2 per second, sent calls to an engine 2.9 s
+after the engine announced its shutdown during a store outage, and sent 19 requests
+from one gateway within the 3 s of backoff that an engine had asked for.
 """
 from engine_notices import Run
 
@@ -42,7 +40,7 @@
 def test_a_limit_of_a_whole_service_is_kept_and_callers_are_told_at_once():
     run = Run(says="zero", all=True, seconds=8.0)
     assert run.kept(), str(run)
-    # a wait for room would be a quarter of the routes' objective
+    # a caller that waits for capacity would take a quarter of the routes' objective
     assert run.refused_s < 0.05 and run.back_s > 0, str(run)
 
 
--- a/tests/test_odd_entries.py
+++ b/tests/test_odd_entries.py
@@ -1,6 +1,7 @@
-"""Entries of engines in the store that come from another writer: fields missing
-or of another type, unknown words, bytes that cannot be read. None of them names
-an engine to use, though somebody answers at its address; the others hold."""
+"""Malformed records of engines in the store, from another writer: fields that are
+missing or of the wrong type, unknown values, bytes that are not JSON. Guards against
+a gateway that sends calls to the address in a malformed record, or that stops using
+the valid records."""
 import json
 
 import pytest
@@ -9,7 +10,7 @@
 from fleet import Fleet
 from standin_platform import Engine
 
-CALLS = 24  # on two gateways, far more than it takes to try every engine
+CALLS = 24  # over two gateways; far more than needed to try each engine
 
 
 def good(engine):
@@ -29,7 +30,7 @@
 
 
 def twice(engine):
-    """The address stands twice."""
+    """The key "address" occurs twice."""
     text = json.dumps(good(engine))
     return (text[:-1] + ', "address": "%s"}' % engine.address).encode()
 
@@ -70,7 +71,7 @@
 
 
 def put(fleet, engine, value):
-    """As it is if it is bytes."""
+    """Appends a record; a value of type bytes is not encoded as JSON."""
     if not isinstance(value, bytes):
         value = json.dumps(value).encode()
     with fleet.store.changed:
@@ -91,7 +92,7 @@
 
 
 def seen_by(fleet, engine):
-    """Once its entry has been read by whoever reads, and told."""
+    """Waits until a gateway has logged the malformed record of the engine."""
     text = "unreadable record engine=" + engine.id
     wait_for("the entry to be read", lambda: text in fleet.log("g0") +
              fleet.log("g1"))
@@ -104,7 +105,7 @@
         fleet.engines.append(engines[name])
         put(fleet, engines[name], entry(engines[name]))
     last = fleet.add_engine("last", "ledger")
-    wait_for("what came behind them to be known", lambda: all(
+    wait_for("the later record to be known", lambda: all(
         "engine=last" in fleet.log(g) for g in ("g0", "g1")))
     assert calls(fleet, "c") == [200] * CALLS
     assert {n for n, e in engines.items() if e.seen} == set()
@@ -112,10 +113,10 @@
     counted = sum(fleet.metrics(i)["quayring_unreadable_total"]
                   for i in range(2))
     assert counted >= len(ODD)
-    # a line each at most, and what was found, and where
+    # the log names the error and the field
     text = fleet.log("g0") + fleet.log("g1")
     assert "finding" in text and "slots" in text
-    # those that start find them in the listing
+    # a new gateway reads the malformed records in its first listing
     fleet.add_gateways(1)
     fleet.wait_ready()
     assert [fleet.call("/safe/x", "n%d" % i, 2)[0] for i in range(12)] == \
