--- a/src/fleet/qr_fleet_settings.c
+++ b/src/fleet/qr_fleet_settings.c
@@ -55,7 +55,7 @@
 #undef NUMBER
 #undef TEXT_BOTH
 
-/* What single fields cannot tell. */
+/* Checks that involve more than the type and range of one field. */
 static void settings_check(const QRFleetSettings *s, QRFindings *f)
 {
     if (s->platform && !qr_platform_find(s->platform))
@@ -109,7 +109,7 @@
     g_free(s);
 }
 
-bool qr_fleet_settings_meant(const char *text, size_t len)
+bool qr_fleet_settings_recognize(const char *text, size_t len)
 {
     g_auto(QRFindings) f = {0};
     g_autoptr(json_object) o = NULL;
--- a/src/gateway/qr_balance.c
+++ b/src/gateway/qr_balance.c
@@ -79,12 +79,14 @@
  */
 static bool is_sidecar_silent(const QREngine *e, uint64_t now_ms)
 {
-    return !e->told || now_ms > e->told_ms + SIDECAR_SILENT_MS;
+    return !e->has_sidecar_report ||
+           now_ms > e->sidecar_report_ms + SIDECAR_SILENT_MS;
 }
 
 static bool is_running(const QREngine *e)
 {
-    return !e->gone && !e->ended && !e->unreadable && !qr_engine_leaves(e);
+    return !e->gone && !e->superseded && !e->unreadable &&
+           !qr_engine_is_leaving(e);
 }
 
 /* Whether the engine may serve the call, not counting pauses it asked for. */
@@ -101,16 +103,18 @@
         if (version < in->min_version_soon && is_sidecar_silent(e, in->now_ms))
             return false;
         /* over a slow link a call may begin after a version's deadline */
-        if (e->told &&
-            (e->told_switching || e->told_unreachable || e->told_slow_link))
+        if (e->has_sidecar_report &&
+            (e->sidecar_switching || e->sidecar_unreachable ||
+             e->sidecar_slow_link))
             return false;
     }
-    return in->now_ms >= e->ejected_until_ms && !e->trial;
+    return in->now_ms >= e->ejected_until_ms && !e->probing;
 }
 
 static bool is_usable(const QREngine *e, const QRBalanceInput *in)
 {
-    return can_serve(e, in) && qr_notices_rest_ms(&e->notices, in->now_ms) == 0;
+    return can_serve(e, in) &&
+           qr_notices_backoff_ms(&e->notices, in->now_ms) == 0;
 }
 
 static double distance_cost_ms(const QREngine *e, const QRBalanceInput *in)
@@ -153,7 +157,7 @@
         f.gap_ms = pass_ms + reading_ms;
         f.first_ms = (f.open > 0 ? pass_ms / 2 : 0) + reading_ms + pass_ms;
     }
-    silence_ms = (double)qr_engine_silence_ms(e, in->now_ms);
+    silence_ms = (double)qr_engine_first_byte_wait_ms(e, in->now_ms);
     if (silence_ms > MIN_SILENCE_MS)
         f.first_ms += silence_ms;
     return f;
@@ -189,7 +193,7 @@
     l->max_open_calls =
         in->spare_only ? slots - slots / SPARE_SLOTS_DIVISOR : slots;
     /* gateways of older builds use slots that no keeper knows of */
-    l->max_open_calls -= MIN(l->max_open_calls, qr_engine_told_open(e));
+    l->max_open_calls -= MIN(l->max_open_calls, qr_engine_reported_open(e));
     l->max_unread_tokens = UINT32_MAX;
     if (!needs_weights(in) || m->read_per_s <= 0)
         return true;
@@ -246,9 +250,9 @@
  */
 static bool is_within_rate_limit(const QREngine *e, const QRBalanceInput *in)
 {
-    return !qr_engine_limit(e)->named ||
-           (!in->unreserved && qr_engine_has_keeper(e, in->now_ms) &&
-            in->now_ms >= e->slots.paced_until_ms);
+    return !qr_engine_limit(e)->is_set ||
+           (!in->unreserved && qr_engine_has_coordinator(e, in->now_ms) &&
+            in->now_ms >= e->slots.rate_limited_until_ms);
 }
 
 /* An engine that may take the call. */
@@ -315,7 +319,7 @@
     c->gap_ms = best->forecast.gap_ms;
     c->engine_open = best->forecast.open;
     c->engine_slots = best->forecast.slots;
-    c->needs_slot = qr_engine_has_keeper(best->engine, in->now_ms);
+    c->needs_slot = qr_engine_has_coordinator(best->engine, in->now_ms);
     (void)compute_limits(best->engine, in, &c->limits);
 }
 
@@ -323,10 +327,11 @@
    asked for a pause or reached its rate limit; 0: it takes requests. */
 static uint64_t pause_ms(const QREngine *e, const QRBalanceInput *in)
 {
-    uint64_t rest_ms = qr_notices_rest_ms(&e->notices, in->now_ms);
+    uint64_t rest_ms = qr_notices_backoff_ms(&e->notices, in->now_ms);
 
-    if (qr_engine_limit(e)->named && e->slots.paced_until_ms > in->now_ms)
-        return MAX(rest_ms, e->slots.paced_until_ms - in->now_ms);
+    if (qr_engine_limit(e)->is_set &&
+        e->slots.rate_limited_until_ms > in->now_ms)
+        return MAX(rest_ms, e->slots.rate_limited_until_ms - in->now_ms);
     return rest_ms;
 }
 
@@ -357,7 +362,7 @@
     if (is_tried(in, e->record->id) || in->now_ms < e->refused_until_ms ||
         !is_within_rate_limit(e, in))
         return false;
-    return qr_engine_has_keeper(e, in->now_ms)
+    return qr_engine_has_coordinator(e, in->now_ms)
                ? may_request_slot(e, &x->forecast, in)
                : may_send_directly(&x->forecast, in);
 }
@@ -385,15 +390,17 @@
 
     for (unsigned i = 0; list && i < list->len; i++) {
         Candidate x = {.engine = list->pdata[i]};
-        Samples *samples =
-            qr_engine_is_tired(x.engine, in->now_ms) ? &overloaded : &preferred;
+        Samples *samples = qr_engine_is_deprioritized(x.engine, in->now_ms)
+                               ? &overloaded
+                               : &preferred;
 
         if (can_serve(x.engine, in))
             count_backoff(&backoff, x.engine, in);
         if (!is_usable(x.engine, in)) {
             c.not_ready += is_running(x.engine);
-            c.switching += is_running(x.engine) && x.engine->told &&
-                           x.engine->told_switching;
+            c.switching += is_running(x.engine) &&
+                           x.engine->has_sidecar_report &&
+                           x.engine->sidecar_switching;
             continue;
         }
         x.forecast = forecast(x.engine, in);
--- a/src/gateway/qr_gateway_peers.c
+++ b/src/gateway/qr_gateway_peers.c
@@ -96,11 +96,11 @@
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__EngineState state = QR__FLEET__ENGINE_STATE__INIT;
 
-    if (member->held == 0)
+    if (member->complete_version == 0)
         return;
     state.name = member->name;
     state.model = member->model;
-    state.held = member->held;
+    state.held = member->complete_version;
     state.engine_address = member->service_address;
     frame.body_case = QR__FLEET__FRAME__BODY_ENGINE_STATE;
     frame.engine_state = &state;
@@ -219,7 +219,7 @@
         set_leaving_from_engine(g, qr_peer_data(peer));
     if (strcmp(h->role, QR_ROLE_SIDECAR) == 0 && qr_peer_data(peer)) {
         ((QRFleetMember *)qr_peer_data(peer))->conn = peer;
-        ((QRFleetMember *)qr_peer_data(peer))->lost_ms = 0;
+        ((QRFleetMember *)qr_peer_data(peer))->disconnected_ms = 0;
         if (!g_ptr_array_find(g->sidecars, peer, NULL))
             g_ptr_array_add(g->sidecars, peer);
     }
@@ -274,7 +274,7 @@
             "earlier run ended engine=%s address=%s born_ms=%" G_GUINT64_FORMAT
             " later_run_ms=%" G_GUINT64_FORMAT,
             e->record->id, e->record->address, e->record->born_ms, born_ms);
-    e->ended = true;
+    e->superseded = true;
     qr_requests_engine_ended(g, e->record->id);
     qr_gateway_poll_engines_faster(g);
 }
@@ -291,23 +291,23 @@
     }
     if (!e)
         return;
-    if (!e->told || e->told_version != state->serving ||
-        e->told_switching != state->switching ||
-        e->told_slow_link != state->slow_link)
+    if (!e->has_sidecar_report || e->sidecar_version != state->serving ||
+        e->sidecar_switching != state->switching ||
+        e->sidecar_slow_link != state->slow_link)
         qr_logf(QR_LEVEL_INFO, "engines",
                 "told engine=%s version=%" G_GUINT64_FORMAT
                 " switching=%d reachable=%d slow_link=%d",
                 e->record->id, state->serving, state->switching,
                 state->reachable, state->slow_link);
-    if (e->told_version != state->serving)
-        e->moved = 0;
-    e->told = true;
+    if (e->sidecar_version != state->serving)
+        e->misdirected = 0;
+    e->has_sidecar_report = true;
     e->unconfirmed = false;
-    e->told_ms = qr_gateway_now(g);
-    e->told_version = state->serving;
-    e->told_switching = state->switching;
-    e->told_unreachable = !state->reachable;
-    e->told_slow_link = state->slow_link;
+    e->sidecar_report_ms = qr_gateway_now(g);
+    e->sidecar_version = state->serving;
+    e->sidecar_switching = state->switching;
+    e->sidecar_unreachable = !state->reachable;
+    e->sidecar_slow_link = state->slow_link;
     if (!member->reserves_slots)
         return;
     qr_gateway_set_sidecar_keeper(g, e, peer);
@@ -320,9 +320,9 @@
                               const Qr__Fleet__EngineState *state)
 {
     take_engine_state(g, peer, state);
-    if (member->held == state->held)
+    if (member->complete_version == state->held)
         return;
-    member->held = state->held;
+    member->complete_version = state->held;
     g_free(member->model);
     member->model = g_strdup(state->model);
     for (unsigned i = 0; i < g->subscribers->len; i++) {
@@ -465,7 +465,7 @@
         member->conn = find_sidecar_conn(g, member);
         /* the sidecar may reconnect; see qr_gateway_expire_sidecars() */
         if (!member->conn)
-            member->lost_ms = MAX(qr_gateway_now(g), 1);
+            member->disconnected_ms = MAX(qr_gateway_now(g), 1);
         return;
     }
     /* a gateway sends its load on the connection that this gateway dialled */
@@ -488,7 +488,8 @@
     for (unsigned i = 0; i < list->len; i++) {
         QRFleetMember *m = list->pdata[i];
 
-        if (m->lost_ms && now_ms > m->lost_ms + SIDECAR_RECONNECT_MS)
+        if (m->disconnected_ms &&
+            now_ms > m->disconnected_ms + SIDECAR_RECONNECT_MS)
             remove_sidecar(g, m);
     }
 }
--- a/src/gateway/qr_gateway_store.c
+++ b/src/gateway/qr_gateway_store.c
@@ -120,7 +120,7 @@
     QREngine *e = qr_engines_get(&g->engines, id);
     QRStoreRecord r = {(char *)id, NULL, position};
 
-    if (!e || e->gone || e->lapsed_ms > 0 ||
+    if (!e || e->gone || e->record_expired_ms > 0 ||
         qr_gateway_engine_record_is_outdated(g, id, position, true))
         return;
     r.value = g_bytes_new_static("", 0);
@@ -130,7 +130,7 @@
         remove_engine(g, e);
         return;
     }
-    e->lapsed_ms = MAX(qr_gateway_now(g), 1);
+    e->record_expired_ms = MAX(qr_gateway_now(g), 1);
     qr_logf(QR_LEVEL_INFO, "engines", "lapsed engine=%s " QR_POSITION_FORMAT,
             id, QR_POSITION_ARGS(position));
 }
@@ -184,7 +184,7 @@
 
     if (is_known && position.epoch == e->position.epoch &&
         position.offset > e->position.offset)
-        e->ended = false;
+        e->superseded = false;
     else
         e->unconfirmed = was_unconfirmed;
     e->position = qr_position_max(e->position, position);
@@ -236,11 +236,11 @@
     }
     e = qr_engines_get(&g->engines, record->id);
     was_unconfirmed = e ? e->unconfirmed : !g->engines_known;
-    change = qr_engines_record(&g->engines, record, qr_gateway_now(g));
+    change = qr_engines_update(&g->engines, record, qr_gateway_now(g));
     e = qr_engines_get(&g->engines, record->id);
     update_position(e, r->position, was_unconfirmed);
-    if (change && qr_engines_end_earlier(&g->engines, e,
-                                         qr_gateway_epoch_is_settling(g)) > 0)
+    if (change && qr_engines_supersede_earlier(
+                      &g->engines, e, qr_gateway_epoch_is_settling(g)) > 0)
         qr_logf(QR_LEVEL_INFO, "engines",
                 "earlier engines at the address ended address=%s "
                 "seen=%s " QR_POSITION_FORMAT,
@@ -308,7 +308,7 @@
         return;
     g_hash_table_iter_init(&it, g->engines.by_id);
     while (g_hash_table_iter_next(&it, NULL, &value)) {
-        if (((QREngine *)value)->lapsed_ms > 0)
+        if (((QREngine *)value)->record_expired_ms > 0)
             g_ptr_array_add(late, value);
     }
     for (unsigned i = 0; i < late->len; i++)
--- a/src/gateway/qr_relay_answer.c
+++ b/src/gateway/qr_relay_answer.c
@@ -188,7 +188,7 @@
     }
     qr_relay_count(r->g, QR_COUNTER_not_run);
     qr_relay_report_outcome(r, r->current.answer.status == 421
-                                   ? QR_OUTCOME_MOVED
+                                   ? QR_OUTCOME_MISDIRECTED
                                    : QR_OUTCOME_FULL);
     qr_relay_end_attempt(r);
     r->runs--;
--- a/src/gateway/qr_relay_end.c
+++ b/src/gateway/qr_relay_end.c
@@ -201,7 +201,8 @@
         qr_client_is_mute(r->current.call))
         return;
     /* an engine that switches versions cuts running calls; not a failure */
-    if (outcome == QR_OUTCOME_FAILURE && e->told && e->told_switching)
+    if (outcome == QR_OUTCOME_FAILURE && e->has_sidecar_report &&
+        e->sidecar_switching)
         return;
     if (qr_engine_outcome(e, outcome, (double)r->current.first_ms,
                           qr_gateway_now(r->g))) {
--- a/src/gateway/qr_relay_notice.c
+++ b/src/gateway/qr_relay_notice.c
@@ -6,11 +6,11 @@
 
 static void log_limit(const QRRelay *r, const QREngine *e)
 {
-    const QRLimitWord *limit = &e->notices.limit;
+    const QRAnnouncedLimit *limit = &e->notices.limit;
 
     qr_logf(QR_LEVEL_INFO, "engines",
             "engine stated limit=%.3f named=%d engine=%s id=%s", limit->per_s,
-            limit->named, e->record->id, r->id);
+            limit->is_set, e->record->id, r->id);
 }
 
 /* Logs each change once, with the call whose answer caused it. */
@@ -21,25 +21,26 @@
         qr_logf(QR_LEVEL_INFO, "engines",
                 "engine announced its end engine=%s id=%s draining=%d",
                 e->record->id, r->id, e->record->draining);
-    if (changes & QR_NOTICE_REST)
+    if (changes & QR_NOTICE_BACKOFF)
         qr_logf(QR_LEVEL_INFO, "engines",
-                "engine asked for rest_s=%.3f engine=%s id=%s", notice->rest_s,
-                e->record->id, r->id);
+                "engine asked for rest_s=%.3f engine=%s id=%s",
+                notice->retry_after_s, e->record->id, r->id);
     if (changes & QR_NOTICE_LIMIT)
         log_limit(r, e);
-    if (changes & QR_NOTICE_ODD)
+    if (changes & QR_NOTICE_MALFORMED)
         qr_logf(QR_LEVEL_WARN, "engines",
                 "says what makes no sense engine=%s id=%s field=%s rest_s=%g "
                 "limit=%g",
-                e->record->id, r->id, notice->odd ? notice->odd : "-",
-                notice->rest_s, notice->limit_per_s);
+                e->record->id, r->id,
+                notice->malformed_field ? notice->malformed_field : "-",
+                notice->retry_after_s, notice->limit_per_s);
 }
 
 static void count_changes(QRGateway *g, unsigned changes)
 {
     if (changes & QR_NOTICE_LEAVING)
         qr_relay_count(g, QR_COUNTER_said_leaving);
-    if (changes & QR_NOTICE_REST)
+    if (changes & QR_NOTICE_BACKOFF)
         qr_relay_count(g, QR_COUNTER_said_rest);
     if (changes & QR_NOTICE_LIMIT)
         qr_relay_count(g, QR_COUNTER_said_limit);
@@ -56,9 +57,9 @@
     if (!e || e->record->born_ms != a->born_ms)
         return;
     r->g->platform->parse_notice(status, headers, &notice);
-    changes =
-        qr_notices_take(&e->notices, &notice, a->sent_ms, qr_gateway_now(r->g));
-    if (qr_engine_limit_matters(e) || changes & QR_NOTICE_REST)
+    changes = qr_notices_update(&e->notices, &notice, a->sent_ms,
+                                qr_gateway_now(r->g));
+    if (qr_engine_must_report_limit(e) || changes & QR_NOTICE_BACKOFF)
         qr_gateway_slots_changed(r->g, e);
     count_changes(r->g, changes);
     log_changes(r, e, &notice, changes);
--- a/src/gateway/qr_relay_send.c
+++ b/src/gateway/qr_relay_send.c
@@ -135,14 +135,14 @@
     r->current.awaits_first_byte = true;
     r->current.version = qr_engine_version(e);
     if (e->ejections > 0)
-        e->trial = true;
+        e->probing = true;
     r->attempts++;
     r->runs++;
     r->current.sent_ms = r->current.progress_ms = qr_gateway_now(r->g);
     r->forecast = (QRRelayForecast){
         c->first_byte_ms, c->gap_ms, c->engine_open, c->engine_slots,
-        qr_engine_told_age_ms(e, r->current.sent_ms)};
-    qr_engine_sent(e, r->current.sent_ms);
+        qr_engine_report_age_ms(e, r->current.sent_ms)};
+    qr_engine_call_sent(e, r->current.sent_ms);
     r->current.mode = ANSWER_NONE;
     qr_sse_discard_partial(&r->events);
     qr_relay_count(r->g, QR_COUNTER_sendings);
--- a/src/gateway/qr_relay_slot.c
+++ b/src/gateway/qr_relay_slot.c
@@ -101,22 +101,24 @@
 static bool store_limit(const QRRelay *r, QREngine *e,
                         const QRSlotResult *result, uint64_t now)
 {
-    if (qr_limit_word_take(&e->slots.limit, &result->limit))
+    if (qr_announced_limit_update(&e->slots.limit, &result->limit))
         qr_logf(QR_LEVEL_INFO, "engines",
                 "told limit=%.3f named=%d engine=%s id=%s", result->limit.per_s,
-                result->limit.named, e->record->id, r->id);
-    if (!qr_engine_limit(e)->named)
+                result->limit.is_set, e->record->id, r->id);
+    if (!qr_engine_limit(e)->is_set)
         return result->granted;
     if (result->limit_wait_ms > 0)
-        e->slots.paced_until_ms = now + limit_wait_ms(r, result->limit_wait_ms);
+        e->slots.rate_limited_until_ms =
+            now + limit_wait_ms(r, result->limit_wait_ms);
     return result->granted && result->within_limit;
 }
 
 static void note_slot_denied(QRRelay *r, QREngine *e,
                              const QRSlotResult *result, uint64_t now)
 {
-    bool for_limit = qr_engine_limit(e)->named && result->limit_wait_ms > 0;
-    bool for_rest = !r->slot.despite_rest && now < e->slots.rests_until_ms;
+    bool for_limit = qr_engine_limit(e)->is_set && result->limit_wait_ms > 0;
+    bool for_rest =
+        !r->slot.despite_rest && now < e->slots.others_backoff_until_ms;
 
     r->slot.denied++;
     qr_relay_count(r->g, QR_COUNTER_slots_denied);
@@ -140,7 +142,8 @@
     if (e) {
         qr_gateway_set_others_load(e, result->others_open,
                                    result->others_reading, now);
-        e->slots.rests_until_ms = now + MIN(result->rest_ms, REST_MAX_MS);
+        e->slots.others_backoff_until_ms =
+            now + MIN(result->rest_ms, REST_MAX_MS);
         if (!store_limit(r, e, result, now)) {
             note_slot_denied(r, e, result, now);
         } else if (qr_relay_suspicion(r) <= QR_SUSPICION_TRIAL &&
@@ -172,7 +175,7 @@
     qr_relay_count(r->g, QR_COUNTER_slots_unanswered);
     e = end_slot_request(r);
     if (e) {
-        e->slots.mute_until_ms = now_ms + KEEPER_MUTE_MS;
+        e->slots.unresponsive_until_ms = now_ms + KEEPER_MUTE_MS;
         qr_logf(QR_LEVEL_WARN, "engines",
                 "slot request unanswered engine=%s id=%s", e->record->id,
                 r->id);
--- a/src/gateway/qr_relay_suspect.c
+++ b/src/gateway/qr_relay_suspect.c
@@ -60,8 +60,8 @@
 
     /* an engine that announced its shutdown, or whose record is gone, ended as
        planned; an engine that switches versions cuts running calls */
-    if (!e || e->gone || qr_engine_leaves(e) ||
-        (e->told && e->told_switching) || !make_fingerprint(r))
+    if (!e || e->gone || qr_engine_is_leaving(e) ||
+        (e->has_sidecar_report && e->sidecar_switching) || !make_fingerprint(r))
         return;
     a->on_trial = false; /* until it is known whether the engine has ended */
     qr_requests_call_interrupted(r->g, e, &call);
--- a/tests/load_model.c
+++ b/tests/load_model.c
@@ -293,9 +293,9 @@
     c->asked++;
     c->has_full_limits =
         limits.max_unread_tokens == choice->limits.max_unread_tokens;
-    e->slots.asked++;
-    e->slots.asked_reading += c->prompt;
-    e->slots.untold = false;
+    e->slots.requested++;
+    e->slots.requested_reading += c->prompt;
+    e->slots.unreported = false;
     m->out.asked++;
     post_message(m, m->s->message_ms, &msg);
 }
@@ -325,12 +325,12 @@
     QREngine *e = engine_of(c->gateway, msg->engine);
 
     c->awaits_slot = false;
-    e->slots.asked--;
-    e->slots.asked_reading -= c->prompt;
-    e->slots.untold = true;
-    e->slots.others = msg->load.open;
+    e->slots.requested--;
+    e->slots.requested_reading -= c->prompt;
+    e->slots.unreported = true;
+    e->slots.others_open = msg->load.open;
     e->slots.others_reading = msg->load.reading;
-    e->slots.others_ms = m->now_ms;
+    e->slots.others_reported_ms = m->now_ms;
     if (msg->kind == MESSAGE_SLOT_GRANTED) {
         send(m, c, e);
         return;
@@ -361,7 +361,7 @@
         .load = {qr_engine_held(e), qr_engine_held_reading(e)},
     };
 
-    e->slots.untold = false;
+    e->slots.unreported = false;
     post_message(m, m->s->message_ms, &msg);
 }
 
@@ -385,13 +385,14 @@
 {
     for (unsigned i = 0; i < m->s->engines; i++) {
         QREngine *e = engine_of(g, i);
-        bool changed = e->own != e->own_told || e->reading != e->reading_told;
+        bool changed =
+            e->own != e->own_reported || e->reading != e->reading_reported;
 
-        if (m->s->mode == LOAD_RESERVED && e->slots.untold)
+        if (m->s->mode == LOAD_RESERVED && e->slots.unreported)
             send_held_slots(m, g, e);
         if (m->s->mode == LOAD_BROADCAST && heartbeat && changed) {
-            e->own_told = e->own;
-            e->reading_told = e->reading;
+            e->own_reported = e->own;
+            e->reading_reported = e->reading;
             send_load(m, g, e);
         }
     }
@@ -492,11 +493,11 @@
     Message reply = *msg;
     bool granted;
 
-    qr_slots_told(slots, msg->from->name, &msg->load, m->now_ms);
+    qr_slots_report(slots, msg->from->name, &msg->load, m->now_ms);
     granted =
         qr_slots_reserve(slots, msg->from->name, &msg->slot_call, m->now_ms);
     reply.kind = granted ? MESSAGE_SLOT_GRANTED : MESSAGE_SLOT_DENIED;
-    reply.load = qr_slots_for(slots, msg->from->name, m->now_ms);
+    reply.load = qr_slots_held_by_others(slots, msg->from->name, m->now_ms);
     post_message(m, m->s->message_ms, &reply);
 }
 
@@ -506,7 +507,8 @@
         Message msg = {
             .kind = MESSAGE_ENGINE_STATE, .to = &m->gateways[i], .engine = at};
 
-        msg.load = qr_slots_for(&m->engines[at].slots, msg.to->name, m->now_ms);
+        msg.load = qr_slots_held_by_others(&m->engines[at].slots, msg.to->name,
+                                           m->now_ms);
         post_message(m, m->s->message_ms, &msg);
     }
 }
@@ -520,11 +522,11 @@
 
     if (msg->kind == MESSAGE_FIRST_EVENT) {
         e->reading -= MIN(e->reading, c->prompt);
-        e->slots.untold = true;
+        e->slots.unreported = true;
         return;
     }
     e->own--;
-    e->slots.untold = true;
+    e->slots.unreported = true;
     if (msg->kind == MESSAGE_LAST_EVENT) {
         finish_call(m, c, true);
         return;
@@ -536,7 +538,7 @@
 
 static void handle_message(Model *m, const Message *msg)
 {
-    QRToldLoad told = {msg->load.open, msg->load.reading, m->now_ms};
+    QRGatewayLoad told = {msg->load.open, msg->load.reading, m->now_ms};
     QREngine *e;
 
     switch (msg->kind) {
@@ -562,19 +564,19 @@
         handle_slot_reply(m, msg);
         break;
     case MESSAGE_HELD_SLOTS:
-        qr_slots_told(&m->engines[msg->engine].slots, msg->from->name,
-                      &msg->load, m->now_ms);
+        qr_slots_report(&m->engines[msg->engine].slots, msg->from->name,
+                        &msg->load, m->now_ms);
         break;
     case MESSAGE_ENGINE_STATE:
         e = engine_of(msg->to, msg->engine);
-        e->slots.others = msg->load.open;
+        e->slots.others_open = msg->load.open;
         e->slots.others_reading = msg->load.reading;
-        e->slots.others_ms = m->now_ms;
+        e->slots.others_reported_ms = m->now_ms;
         break;
     case MESSAGE_GATEWAY_LOAD:
         e = engine_of(msg->to, msg->engine);
-        qr_engines_told_load(&msg->to->engines, e->record->id, msg->from->name,
-                             &told);
+        qr_engines_report_load(&msg->to->engines, e->record->id,
+                               msg->from->name, &told);
         break;
     }
 }
@@ -631,9 +633,9 @@
         r->slots = m->s->slots;
         r->model = g_strdup("m");
         r->version = 1;
-        qr_engines_record(&g->engines, r, 1);
+        qr_engines_update(&g->engines, r, 1);
         if (m->s->mode == LOAD_RESERVED)
-            engine_of(g, i)->slots.kind = QR_KEEPER_BESIDE;
+            engine_of(g, i)->slots.coordinator_kind = QR_COORDINATOR_SIDECAR;
     }
 }
 
--- a/tests/unit_limits.c
+++ b/tests/unit_limits.c
@@ -45,7 +45,7 @@
     unsigned gateway, keeper, run;
     uint32_t call;
     uint64_t sent_ms;
-    QRLimitWord limit; /* told by a gateway or keeper, or announced by the
+    QRAnnouncedLimit limit; /* told by a gateway or keeper, or announced by the
                           engine; at_ms by the clock that all share */
     bool granted, paced;
     uint32_t wait_ms;
@@ -53,8 +53,8 @@
 
 typedef struct Gateway {
     QRNotices notices;
-    QRLimitWord told; /* by keepers */
-    uint32_t asked;   /* number of the pending request; 0: none */
+    QRAnnouncedLimit told; /* by keepers */
+    uint32_t asked;        /* number of the pending request; 0: none */
     uint64_t asked_ms, avoid_keeper_until_ms, paced_until_ms;
     unsigned keeper, run;
     uint64_t sees_keeper_ms; /* when it will see the newest keeper */
@@ -101,10 +101,10 @@
                   G_N_ELEMENTS(limits)];
 }
 
-static const QRLimitWord *in_force(const Gateway *g)
+static const QRAnnouncedLimit *in_force(const Gateway *g)
 {
-    return g->told.at_ms > g->notices.limit.at_ms ? &g->told
-                                                  : &g->notices.limit;
+    return g->told.as_of_ms > g->notices.limit.as_of_ms ? &g->told
+                                                        : &g->notices.limit;
 }
 
 static void request_slot(Model *m, unsigned i)
@@ -141,7 +141,7 @@
         return;
     if (!avoids_keeper)
         request_slot(m, i);
-    else if (!in_force(g)->named)
+    else if (!in_force(g)->is_set)
         send_call(m, i); /* as without a keeper */
 }
 
@@ -164,8 +164,8 @@
     request.call = e->call;
     request.open_most = G_MAXUINT32;
     request.reading_most = G_MAXUINT32;
-    if (e->limit.at_ms > 0) {
-        qr_limit_tell(&e->limit, m->now_ms, &limit);
+    if (e->limit.as_of_ms > 0) {
+        qr_limit_encode(&e->limit, m->now_ms, &limit);
         request.limit = &limit;
     }
     (void)qr_slots_request(&k->slots, m->gateways[e->gateway].name, &request,
@@ -174,7 +174,7 @@
     back.paced = reply.head.paced;
     back.wait_ms = reply.head.wait_ms;
     if (reply.head.limit)
-        back.limit = qr_limit_heard(reply.head.limit, m->now_ms);
+        back.limit = qr_limit_decode(reply.head.limit, m->now_ms);
     post(m, back, 15);
 }
 
@@ -185,10 +185,10 @@
     if (g->run != e->run || g->asked != e->call)
         return;
     g->asked = 0;
-    (void)qr_limit_word_take(&g->told, &e->limit);
-    if (in_force(g)->named && e->wait_ms > 0)
+    (void)qr_announced_limit_update(&g->told, &e->limit);
+    if (in_force(g)->is_set && e->wait_ms > 0)
         g->paced_until_ms = m->now_ms + MIN(e->wait_ms, MAX_PACED_MS);
-    if (e->granted && (e->paced || !in_force(g)->named))
+    if (e->granted && (e->paced || !in_force(g)->is_set))
         send_call(m, e->gateway);
 }
 
@@ -222,7 +222,7 @@
 
     m->arrived++;
     if (m->now_ms >= FIRST_LIMIT_MS)
-        back.limit = (QRLimitWord){true, limit_at(m->now_ms), m->now_ms};
+        back.limit = (QRAnnouncedLimit){true, limit_at(m->now_ms), m->now_ms};
     if (g->run == e->run && g->told_limit_ms > 0 &&
         m->now_ms >= g->told_limit_ms + TOLD_SETTLE_MS) {
         g_array_append_val(m->checked, m->now_ms);
@@ -234,13 +234,13 @@
 static void on_answer(Model *m, const Event *e)
 {
     Gateway *g = &m->gateways[e->gateway];
-    QRAnswerNotice notice = {.has_limit = e->limit.named,
-                             .has_no_limit = !e->limit.named,
+    QRAnswerNotice notice = {.has_limit = e->limit.is_set,
+                             .has_no_limit = !e->limit.is_set,
                              .limit_per_s = e->limit.per_s};
 
     if (g->run != e->run)
         return;
-    (void)qr_notices_take(&g->notices, &notice, e->sent_ms, m->now_ms);
+    (void)qr_notices_update(&g->notices, &notice, e->sent_ms, m->now_ms);
     if (notice.has_limit && g->told_limit_ms == 0)
         g->told_limit_ms = m->now_ms;
 }
--- a/tests/unit_load.c
+++ b/tests/unit_load.c
@@ -11,7 +11,7 @@
 #define LEASE_MS 2000
 
 static const QRSlotCall small_call = {
-    .prompt = 100, .open_most = 4, .reading_most = 1000};
+    .prompt = 100, .max_open = 4, .max_reading = 1000};
 
 static bool reserve(QRSlots *s, const char *gateway, uint64_t now_ms)
 {
@@ -27,10 +27,10 @@
         ck_assert(reserve(&s, i % 2 ? "a" : "b", 1));
     ck_assert(!reserve(&s, "a", 1));
     ck_assert(!reserve(&s, "c", 1));
-    ck_assert_uint_eq(qr_slots_for(&s, "a", 1).open, 2);
-    ck_assert_uint_eq(qr_slots_for(&s, "c", 1).open, 4);
+    ck_assert_uint_eq(qr_slots_held_by_others(&s, "a", 1).open, 2);
+    ck_assert_uint_eq(qr_slots_held_by_others(&s, "c", 1).open, 4);
     /* a gateway's own report of its slots replaces what was granted to it */
-    qr_slots_told(&s, "a", &(QRSlotLoad){1, 0}, 2);
+    qr_slots_report(&s, "a", &(QRSlotLoad){1, 0}, 2);
     ck_assert(reserve(&s, "c", 2));
     ck_assert(!reserve(&s, "c", 2));
     qr_slots_clear(&s);
@@ -44,10 +44,10 @@
     QRSlots s;
 
     qr_slots_init(&s);
-    qr_slots_told(&s, "a", &(QRSlotLoad){4, 0}, 1);
+    qr_slots_report(&s, "a", &(QRSlotLoad){4, 0}, 1);
     ck_assert(!reserve(&s, "b", LEASE_MS));
     ck_assert(reserve(&s, "b", LEASE_MS + 2));
-    qr_slots_told(&s, "a", &(QRSlotLoad){4, 0}, LEASE_MS + 3);
+    qr_slots_report(&s, "a", &(QRSlotLoad){4, 0}, LEASE_MS + 3);
     qr_slots_drop(&s, "b");
     ck_assert(!reserve(&s, "b", LEASE_MS + 4));
     qr_slots_drop(&s, "a");
@@ -58,23 +58,23 @@
 
 START_TEST(slots_respect_unread_prompts)
 {
-    QRSlotCall wish = {.prompt = 600, .open_most = 4, .reading_most = 500};
+    QRSlotCall wish = {.prompt = 600, .max_open = 4, .max_reading = 500};
     QRSlots s;
 
     qr_slots_init(&s);
     s.read_per_ms = 10;
     /* no engine can answer sooner than an idle one */
-    wish.reading_most = 0;
+    wish.max_reading = 0;
     ck_assert(qr_slots_reserve(&s, "a", &wish, 1));
-    wish.reading_most = 500;
+    wish.max_reading = 500;
     ck_assert(!qr_slots_reserve(&s, "a", &wish, 1));
     /* 100 of 600 tokens are read in 20 ms, though no gateway reported so */
     ck_assert(!qr_slots_reserve(&s, "b", &wish, 11));
     ck_assert(qr_slots_reserve(&s, "b", &wish, 21));
     /* the prompt of a call that ended is not read any more */
-    qr_slots_told(&s, "a", &(QRSlotLoad){0, 0}, 22);
-    qr_slots_told(&s, "b", &(QRSlotLoad){1, 0}, 22);
-    wish.reading_most = 0;
+    qr_slots_report(&s, "a", &(QRSlotLoad){0, 0}, 22);
+    qr_slots_report(&s, "b", &(QRSlotLoad){1, 0}, 22);
+    wish.max_reading = 0;
     ck_assert(qr_slots_reserve(&s, "a", &wish, 22));
     qr_slots_clear(&s);
 }
@@ -88,18 +88,18 @@
     QRSlots s;
 
     qr_slots_init(&s);
-    retry.returned = true;
-    qr_slots_told(&s, "a", &(QRSlotLoad){4, 0}, 1000);
+    retry.is_caller_retry = true;
+    qr_slots_report(&s, "a", &(QRSlotLoad){4, 0}, 1000);
     ck_assert(!qr_slots_reserve(&s, "b", &first, 1000));
-    qr_slots_told(&s, "a", &(QRSlotLoad){3, 0}, 1010);
+    qr_slots_report(&s, "a", &(QRSlotLoad){3, 0}, 1010);
     /* one denial of a first try may be chance */
     ck_assert(qr_slots_reserve(&s, "b", &retry, 1010));
     first.denials = 5;
     ck_assert(!qr_slots_reserve(&s, "b", &first, 1020));
-    qr_slots_told(&s, "a", &(QRSlotLoad){2, 0}, 1030);
+    qr_slots_report(&s, "a", &(QRSlotLoad){2, 0}, 1030);
     ck_assert(!qr_slots_reserve(&s, "c", &retry, 1030));
     ck_assert(qr_slots_reserve(&s, "c", &first, 1030));
-    qr_slots_told(&s, "a", &(QRSlotLoad){1, 0}, 1040);
+    qr_slots_report(&s, "a", &(QRSlotLoad){1, 0}, 1040);
     /* no first try was denied for a while */
     ck_assert(qr_slots_reserve(&s, "c", &retry, 3000));
     qr_slots_clear(&s);
--- a/tests/unit_sources.c
+++ b/tests/unit_sources.c
@@ -191,7 +191,7 @@
 {
     QRFleetMember *holder = qr_members_get(m, name);
 
-    holder->held = 2;
+    holder->complete_version = 2;
     g_free(holder->model);
     holder->model = g_strdup("m");
 }
@@ -234,7 +234,8 @@
     for (unsigned piece = 0; piece < 24; piece++) {
         QRPieceSource at = source(&m, "s0", piece, 0, 0);
 
-        ck_assert(at.role != QR_PIECE_ROLE_ROOT && at.from->held == 2);
+        ck_assert(at.role != QR_PIECE_ROLE_ROOT &&
+                  at.from->complete_version == 2);
         at_holder += strcmp(at.from->name, "s3") == 0;
     }
     ck_assert_uint_eq(at_holder, 12);
