--- a/src/gateway/qr_relay_attempt.c
+++ b/src/gateway/qr_relay_attempt.c
@@ -20,7 +20,7 @@
     a->awaits_first_byte = false;
     e->reading -= MIN(e->reading, a->prompt_tokens);
     qr_gateway_slots_changed(r->g, e);
-    qr_engine_heard(e, a->sent_ms);
+    qr_engine_call_heard(e, a->sent_ms);
 }
 
 void qr_attempt_uncount_open(QRRelay *r, QRAttempt *a)
