--- a/src/sidecar/qr_pace.h
+++ b/src/sidecar/qr_pace.h
@@ -7,21 +7,22 @@
 
 #include "base/qr_base.h"
 
-typedef struct QRPace {
-    double bytes;   /* that may be sent now; below 0: in debt */
-    uint64_t at_ms; /* when that was last looked at */
-} QRPace;
+typedef struct QRTokenBucket {
+    double bytes;         /* that may be sent now; below 0: in debt */
+    uint64_t refilled_ms; /* when that was last looked at */
+} QRTokenBucket;
 
 /*
  * Time passes, at 'rate' bytes a ms. What was not used is kept for at most
  * 'saved_ms': a burst delays whatever else uses the link.
  */
-void qr_pace_refill(QRPace *p, double rate, unsigned saved_ms, uint64_t now_ms);
-static inline bool qr_pace_open(const QRPace *p)
+void qr_token_bucket_refill(QRTokenBucket *p, double rate, unsigned saved_ms,
+                            uint64_t now_ms);
+static inline bool qr_token_bucket_may_send(const QRTokenBucket *p)
 {
     return p->bytes >= 0;
 }
-static inline void qr_pace_sent(QRPace *p, size_t bytes)
+static inline void qr_token_bucket_spend(QRTokenBucket *p, size_t bytes)
 {
     p->bytes -= (double)bytes;
 }
--- a/src/sidecar/qr_pieces.c
+++ b/src/sidecar/qr_pieces.c
@@ -8,22 +8,25 @@
 
 #define CONNECT_MS 700
 #define ORIGIN_TIMEOUT_MS 2500
-#define ORIGIN_AT_ONCE 1        /* its connections are few */
-#define ORIGIN_AGAIN_MS 150     /* after a failure */
-#define ORIGIN_REST_MS 300      /* ... that rest are closed: others need them */
-#define STALL_MS 900            /* no piece from anybody: ask others */
-#define ASKED_MOST_MS 4000      /* a peer is given so long in any case */
-#define UNHEARD_MOST_MS 900     /* ... that does not answer at all */
-#define PENDING_MOST_MS 1500    /* ... that said that it will have it */
-#define ROOT_WAIT_MOST_MS 5000  /* ... while others come: a root */
-#define RELAY_WAIT_MOST_MS 9000 /* ... a relay, which waits for a root */
-#define BY_ROLE_MS 1500         /* for views of members to become alike */
-#define REFRESH_MS 500   /* between two words to those who wait for a piece */
-#define MANIFEST_SHARE 3 /* of these times, for the small manifest */
-#define DIAL_MOST_MS 300
-#define WINDOW_LEAST 1
-#define WINDOW_MOST 8
-#define WINDOW_FEW 2
+#define ORIGIN_REQUESTS_MAX 1 /* its connections are few */
+#define ORIGIN_RETRY_MS 150   /* after a failure */
+#define ORIGIN_IDLE_MS 300    /* ... that rest are closed: others need them */
+#define STALL_MS 900          /* no piece from anybody: ask others */
+#define PEER_TIMEOUT_MS 4000  /* a peer is given so long in any case */
+#define PEER_REPLY_TIMEOUT_MS 900   /* ... that does not answer at all */
+#define PENDING_TIMEOUT_MS 1500     /* ... that said that it will have it */
+#define ROOT_TIMEOUT_MS 5000        /* ... while others come: a root */
+#define RELAY_TIMEOUT_MS 9000       /* ... a relay, which waits for a root */
+#define MEMBER_VIEWS_SETTLE_MS 1500 /* for views of members to become alike */
+#define PENDING_NOTICE_MS                                                      \
+    500 /* between two words to those who wait for a piece */
+#define MANIFEST_TIMEOUT_DIVISOR                                               \
+    3 /* of these times, for the small manifest                                \
+       */
+#define DIAL_TIMEOUT_MS 300
+#define WINDOW_MIN 1
+#define WINDOW_MAX 8
+#define WINDOW_SMALL 2
 #define SLOW_LINK_MS 1500 /* since a slow piece, or one on its way then */
 #define PIECE_FAST_MS 130 /* from its first byte to its last */
 #define PIECE_SLOW_MS 260
@@ -36,7 +39,7 @@
     return origin ? origin->origin : NULL;
 }
 
-void qr_piece_came(QRTarget *t, uint32_t index)
+void qr_piece_notify_waiters(QRTarget *t, uint32_t index)
 {
     QRSidecar *s = t->sidecar;
     g_autoptr(GArray) out = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
@@ -49,10 +52,10 @@
         g_array_remove_index_fast(s->waiters, i - 1);
         g_array_append_val(out, w);
     }
-    qr_upload_tell_all(out, QR__FLEET__PIECE__STATE__READY);
+    qr_upload_send_state_all(out, QR__FLEET__PIECE__STATE__READY);
 }
 
-static void target_whole(QRTarget *t)
+static void report_target_complete(QRTarget *t)
 {
     QRSidecar *s = t->sidecar;
 
@@ -66,7 +69,7 @@
 }
 
 /* Whether the bytes are what the version has there; a manifest is read. */
-static bool piece_is_right(QRTarget *t, uint32_t index, const void *data,
+static bool is_piece_valid(QRTarget *t, uint32_t index, const void *data,
                            size_t len)
 {
     char digest[QR_SHA_HEX];
@@ -78,14 +81,14 @@
 }
 
 /* A piece came, from wherever: checked, kept, told to who waits for it. */
-static bool piece_take(QRTarget *t, uint32_t index, const void *data,
-                       size_t len, const char *from)
+static bool accept_piece(QRTarget *t, uint32_t index, const void *data,
+                         size_t len, const char *from)
 {
     QRPiece *p = qr_piece(t, index);
 
     if (p->data)
         return true;
-    if (!piece_is_right(t, index, data, len)) {
+    if (!is_piece_valid(t, index, data, len)) {
         qr_logf(
             QR_LEVEL_WARN, "weights",
             "bad piece index=%d from=%s bytes=%zu version=%" G_GUINT64_FORMAT,
@@ -94,15 +97,16 @@
     }
     p->data = g_bytes_new(data, len);
     p->asked = false;
-    qr_progress_note(&t->progress, qr_sidecar_now(t->sidecar));
+    qr_progress_note_piece(&t->progress, qr_sidecar_now(t->sidecar));
     t->held += index != QR_MANIFEST_INDEX;
-    qr_piece_came(t, index);
+    qr_piece_notify_waiters(t, index);
     if (qr_target_whole(t))
-        target_whole(t);
+        report_target_complete(t);
     return true;
 }
 
-static void origin_done(void *owner, unsigned index, const QRWholeAnswer *a)
+static void handle_origin_answer(void *owner, unsigned index,
+                                 const QRWholeAnswer *a)
 {
     QRTarget *t = owner;
     QRPiece *p = qr_piece(t, index);
@@ -114,7 +118,7 @@
     t->sidecar->origin_used_ms = qr_sidecar_now(t->sidecar);
     /* the next is asked for by the next tick: this connection can't take it
        before its last bytes were looked at */
-    if (a->status == 200 && piece_take(t, index, a->data, a->len, "origin"))
+    if (a->status == 200 && accept_piece(t, index, a->data, a->len, "origin"))
         return;
     qr_logf(QR_LEVEL_WARN, "weights",
             "origin failed index=%d status=%u why=%s version=%" G_GUINT64_FORMAT
@@ -122,10 +126,10 @@
             (int)index, a->status, a->why ? a->why : "-", t->version, rest);
     p->asked = false;
     p->asked_ms = qr_sidecar_now(t->sidecar);
-    t->sidecar->origin_next_ms = p->asked_ms + MAX(ORIGIN_AGAIN_MS, rest);
+    t->sidecar->origin_next_ms = p->asked_ms + MAX(ORIGIN_RETRY_MS, rest);
 }
 
-unsigned qr_pieces_from_origin(const QRSidecar *s)
+unsigned qr_pieces_count_origin_requests(const QRSidecar *s)
 {
     unsigned n = 0;
 
@@ -139,24 +143,24 @@
     return n;
 }
 
-void qr_pieces_rest(QRSidecar *s, uint64_t now_ms)
+void qr_pieces_close_idle_origin(QRSidecar *s, uint64_t now_ms)
 {
-    if (s->origin_used_ms == 0 || now_ms < s->origin_used_ms + ORIGIN_REST_MS ||
-        qr_pieces_from_origin(s) > 0)
+    if (s->origin_used_ms == 0 || now_ms < s->origin_used_ms + ORIGIN_IDLE_MS ||
+        qr_pieces_count_origin_requests(s) > 0)
         return;
     s->origin_used_ms = 0;
     if (origin_address(s))
         qr_client_forget(s->to_origin, origin_address(s));
 }
 
-static void piece_from_origin(QRTarget *t, uint32_t index, uint64_t now)
+static void request_from_origin(QRTarget *t, uint32_t index, uint64_t now)
 {
     QRSidecar *s = t->sidecar;
     g_autofree char *path = NULL;
     QRWholeRequest r = {0};
 
     if (!origin_address(s) || now < s->origin_next_ms ||
-        qr_pieces_from_origin(s) >= ORIGIN_AT_ONCE)
+        qr_pieces_count_origin_requests(s) >= ORIGIN_REQUESTS_MAX)
         return;
     path = index == QR_MANIFEST_INDEX
                ? s->platform->manifest_path(s->model, t->version)
@@ -167,11 +171,11 @@
     r.connect_ms = CONNECT_MS;
     r.timeout_ms = ORIGIN_TIMEOUT_MS;
     qr_piece(t, index)->fetch =
-        qr_whole_send(s->to_origin, &r, origin_done, t, index);
+        qr_whole_send(s->to_origin, &r, handle_origin_answer, t, index);
 }
 
 /* The source that was asked, or dialled, gave nothing: the next one. */
-static void piece_give_up(QRPiece *p)
+static void advance_source(QRPiece *p)
 {
     p->asked = p->pending = false;
     p->dial_ms = 0;
@@ -188,8 +192,8 @@
     [QR_PIECE_ROOT] = QR__FLEET__WANT__ROLE__ROOT,
 };
 
-static void piece_ask(QRTarget *t, uint32_t index, const QRPieceSource *source,
-                      uint64_t now)
+static void request_from_peer(QRTarget *t, uint32_t index,
+                              const QRPieceSource *source, uint64_t now)
 {
     QRSidecar *s = t->sidecar;
     QRPiece *p = qr_piece(t, index);
@@ -201,8 +205,8 @@
     if (!peer) { /* being dialled; the next tick sees it */
         if (p->dial_ms == 0)
             p->dial_ms = now;
-        else if (now > p->dial_ms + DIAL_MOST_MS)
-            piece_give_up(p);
+        else if (now > p->dial_ms + DIAL_TIMEOUT_MS)
+            advance_source(p);
         return;
     }
     p->dial_ms = 0;
@@ -225,7 +229,7 @@
 }
 
 /* Pieces on their way to us from peers: asked for where they are, or may be. */
-static unsigned on_their_way(const QRSidecar *s)
+static unsigned count_incoming(const QRSidecar *s)
 {
     unsigned n = 0;
 
@@ -245,17 +249,17 @@
  * A piece came in 'ms'. The window grows while pieces come fast, and shrinks
  * when they fill the link: calls to the engine wait behind them.
  */
-static void window_learn(QRSidecar *s, uint64_t ms)
+static void adapt_window(QRSidecar *s, uint64_t ms)
 {
     uint64_t now = qr_sidecar_now(s);
 
     /* few were on their way: it is the link itself that is slow */
-    if (ms > PIECE_SLOW_MS && s->window <= WINDOW_FEW)
+    if (ms > PIECE_SLOW_MS && s->window <= WINDOW_SMALL)
         qr_link_note_slow(s, now);
     if (ms > PIECE_SLOW_MS)
-        s->window = MAX(s->window / 2, WINDOW_LEAST);
+        s->window = MAX(s->window / 2, WINDOW_MIN);
     if (ms < PIECE_FAST_MS) {
-        s->window = MIN(s->window + 1, WINDOW_MOST);
+        s->window = MIN(s->window + 1, WINDOW_MAX);
         s->slow_until_ms = MIN(s->slow_until_ms, now);
     }
 }
@@ -270,7 +274,7 @@
     if (now_ms >= s->slow_until_ms)
         return false;
     /* what is on its way will tell: until then it stays slow */
-    if (s->targets && on_their_way(s) > 0)
+    if (s->targets && count_incoming(s) > 0)
         s->slow_until_ms = MAX(s->slow_until_ms, now_ms + SLOW_LINK_MS);
     return true;
 }
@@ -279,30 +283,30 @@
 static bool is_overdue(const QRTarget *t, uint32_t index, uint64_t now)
 {
     const QRPiece *p = qr_piece(t, index);
-    uint64_t wait = p->from_root ? ROOT_WAIT_MOST_MS : RELAY_WAIT_MOST_MS;
-    uint64_t share = index == QR_MANIFEST_INDEX ? MANIFEST_SHARE : 1;
+    uint64_t wait = p->from_root ? ROOT_TIMEOUT_MS : RELAY_TIMEOUT_MS;
+    uint64_t share = index == QR_MANIFEST_INDEX ? MANIFEST_TIMEOUT_DIVISOR : 1;
 
     if (p->pending)
-        return now > p->asked_ms + PENDING_MOST_MS ||
-               qr_progress_passed_by(&t->progress, p->first_asked_ms, wait,
-                                     now);
+        return now > p->asked_ms + PENDING_TIMEOUT_MS ||
+               qr_progress_is_source_overdue(&t->progress, p->first_asked_ms,
+                                             wait, now);
     if (p->asked && !p->heard)
-        return now > p->asked_ms + UNHEARD_MOST_MS / share;
-    if (now > p->asked_ms + ASKED_MOST_MS / share)
+        return now > p->asked_ms + PEER_REPLY_TIMEOUT_MS / share;
+    if (now > p->asked_ms + PEER_TIMEOUT_MS / share)
         return true;
     return now > p->asked_ms + STALL_MS && now > t->progress.last_ms + STALL_MS;
 }
 
-void qr_pieces_refresh(QRSidecar *s, uint64_t now_ms)
+void qr_pieces_notify_pending(QRSidecar *s, uint64_t now_ms)
 {
     if (now_ms < s->refresh_ms)
         return;
-    s->refresh_ms = now_ms + REFRESH_MS;
+    s->refresh_ms = now_ms + PENDING_NOTICE_MS;
     for (unsigned i = 0; i < s->waiters->len; i++) {
         const QRWaiter *w = &g_array_index(s->waiters, QRWaiter, i);
 
         if (w->target)
-            qr_upload_tell(w, QR__FLEET__PIECE__STATE__PENDING);
+            qr_upload_send_state(w, QR__FLEET__PIECE__STATE__PENDING);
     }
 }
 
@@ -316,9 +320,9 @@
  * first: most of them see the same a moment later. If that waits in vain the
  * askers may be the ones that are waited for.
  */
-static QRPieceRole role_of(QRPiece *p, uint64_t now_ms)
+static QRPieceRole effective_role(QRPiece *p, uint64_t now_ms)
 {
-    if (p->pending && now_ms > p->first_asked_ms + BY_ROLE_MS)
+    if (p->pending && now_ms > p->first_asked_ms + MEMBER_VIEWS_SETTLE_MS)
         p->goes_by_role = true;
     return p->goes_by_role ? p->role : QR_PIECE_OWN;
 }
@@ -340,22 +344,22 @@
         p->asked_ms = now_ms;
     if (is_overdue(t, index, now_ms)) {
         p->asked_ms = now_ms;
-        piece_give_up(p);
+        advance_source(p);
     }
     if (p->asked && !p->pending)
         return;
-    source = qr_source_choose(plan, index, p->tried, role_of(p, now_ms));
+    source = qr_source_choose(plan, index, p->tried, effective_role(p, now_ms));
     if (p->asked && is_source(p, &source))
         return;
     p->asked = p->pending = false;
     if (!source.from)
-        piece_from_origin(t, index, now_ms);
+        request_from_origin(t, index, now_ms);
     else if (index == QR_MANIFEST_INDEX || source.role == QR_PIECE_ROOT ||
-             on_their_way(s) < (unsigned)s->window)
-        piece_ask(t, index, &source, now_ms);
+             count_incoming(s) < (unsigned)s->window)
+        request_from_peer(t, index, &source, now_ms);
 }
 
-static void tell_taken(QRPeerConn *peer, const Qr__Fleet__Piece *taken)
+static void acknowledge_piece(QRPeerConn *peer, const Qr__Fleet__Piece *taken)
 {
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__Piece piece = QR__FLEET__PIECE__INIT;
@@ -369,28 +373,28 @@
     qr_peer_send(peer, &frame);
 }
 
-void qr_weights_piece(QRSidecar *s, QRPeerConn *peer,
-                      const Qr__Fleet__Piece *piece)
+void qr_weights_handle_piece(QRSidecar *s, QRPeerConn *peer,
+                             const Qr__Fleet__Piece *piece)
 {
     const QRFleetMember *from = qr_peer_data(peer);
-    QRTarget *t = qr_target_of(s, piece->model, piece->version);
+    QRTarget *t = qr_target_find(s, piece->model, piece->version);
     QRPiece *p;
 
     if (piece->state == QR__FLEET__PIECE__STATE__TAKEN) {
-        qr_upload_taken(s, peer);
+        qr_upload_note_received(s, peer);
         return;
     }
     if (piece->state == QR__FLEET__PIECE__STATE__DATA &&
         piece->index != QR_MANIFEST_INDEX)
-        tell_taken(peer, piece);
+        acknowledge_piece(peer, piece);
     if (!t || !qr_target_has_index(t, piece->index))
         return;
     p = qr_piece(t, piece->index);
     if (piece->state == QR__FLEET__PIECE__STATE__DATA) {
         if (piece->index != QR_MANIFEST_INDEX)
-            window_learn(s, qr_peer_frame_ms(peer));
-        if (piece_take(t, piece->index, piece->data.data, piece->data.len,
-                       from ? from->name : "peer")) {
+            adapt_window(s, qr_peer_frame_ms(peer));
+        if (accept_piece(t, piece->index, piece->data.data, piece->data.len,
+                         from ? from->name : "peer")) {
             s->peer_pieces++;
             qr_weights_tick(s, qr_sidecar_now(s));
             return;
@@ -407,20 +411,20 @@
         return;
     p->asked = false;
     if (piece->state != QR__FLEET__PIECE__STATE__READY)
-        piece_give_up(p);
+        advance_source(p);
     qr_weights_tick(s, qr_sidecar_now(s));
 }
 
 static void piece_peer_closed(QRPiece *p, const QRPeerConn *peer)
 {
     if (p->asked && p->asked_on == peer)
-        piece_give_up(p);
+        advance_source(p);
 }
 
 /* Of a peer's connections only the one that was asked on matters. */
 void qr_weights_peer_closed(QRSidecar *s, const QRPeerConn *peer)
 {
-    qr_upload_drop(s, NULL, peer);
+    qr_upload_drop_waiters(s, NULL, peer);
     for (unsigned k = 0; s->targets && k < s->targets->len; k++) {
         QRTarget *t = s->targets->pdata[k];
 
--- a/src/sidecar/qr_progress.h
+++ b/src/sidecar/qr_progress.h
@@ -13,13 +13,13 @@
 } QRProgress;
 
 /* A piece came. */
-void qr_progress_note(QRProgress *p, uint64_t now_ms);
+void qr_progress_note_piece(QRProgress *p, uint64_t now_ms);
 /*
  * Whether a source has been waited for, since 'asked_ms', for longer than
  * 'most_ms' while other pieces came. While none come, others fare no better,
  * and each that took over would draw the piece once more.
  */
-bool qr_progress_passed_by(const QRProgress *p, uint64_t asked_ms,
-                           uint64_t most_ms, uint64_t now_ms);
+bool qr_progress_is_source_overdue(const QRProgress *p, uint64_t asked_ms,
+                                   uint64_t most_ms, uint64_t now_ms);
 
 #endif
--- a/src/sidecar/qr_sidecar.c
+++ b/src/sidecar/qr_sidecar.c
@@ -37,7 +37,7 @@
         qr_members_of(&s->members, QR_ROLE_SIDECAR, s->set->service);
     const QRService *origin =
         s->operator.policy ? qr_policy_origin(s->operator.policy) : NULL;
-    const QRTarget *t = qr_target_of(s, s->model, version);
+    const QRTarget *t = qr_target_find(s, s->model, version);
 
     for (unsigned i = members->len; i > 0; i--) {
         const QRFleetMember *m = members->pdata[i - 1];
@@ -92,7 +92,7 @@
     if (s->report_ms && (new->sequence < s->report.sequence ||
                          (new->born_ms && s->report.born_ms &&new->born_ms !=
                                               s->report.born_ms)))
-        qr_stage_forget(s);
+        qr_stage_reset(s);
     qr_engine_report_clear(&s->report);
     s->report = *new;
     s->reachable = reachable;
@@ -231,7 +231,7 @@
     if (!s->report_call && now >= s->report_next_ms)
         report_ask(s, now);
     qr_weights_tick(s, now);
-    qr_weights_upload(s, now);
+    qr_upload_send_queued(s, now);
     qr_stage_tick(s, now);
     if (now < s->slow_tick_ms)
         return;
@@ -315,7 +315,7 @@
     s->incarnation = g_random_int() | (uint64_t)g_random_int() << 32;
     s->gateways = g_ptr_array_new();
     g_queue_init(&s->uploads);
-    s->sent = qr_upload_sent_new();
+    s->sent = qr_upload_in_flight_new();
     s->waiters = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
     qr_operator_init(&s->operator, s->platform, operator_news, s);
     qr_members_init(&s->members);
--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -110,7 +110,7 @@
     GArray *waiters;          /* QRWaiter: their pieces are not here yet */
     GQueue uploads; /* QRWaiter *: pieces to send, first asked first */
     GArray *sent;   /* pieces sent that have not arrived yet */
-    QRPace upload_pace;
+    QRTokenBucket upload_pace;
     uint64_t slow_until_ms;  /* see qr_link_is_slow() */
     uint64_t refresh_ms;     /* when those who wait here are told so next */
     uint64_t origin_next_ms; /* the origin failed: not asked before */
@@ -143,10 +143,10 @@
 void qr_weights_retarget(QRSidecar *s);
 void qr_weights_tick(QRSidecar *s, uint64_t now_ms);
 /* Sends pieces that peers asked for, no faster than the link may carry. */
-void qr_weights_upload(QRSidecar *s, uint64_t now_ms);
-void qr_weights_want(QRSidecar *s, QRPeerConn *peer,
+void qr_upload_send_queued(QRSidecar *s, uint64_t now_ms);
+void qr_weights_handle_want(QRSidecar *s, QRPeerConn *peer,
                      const Qr__Fleet__Want *want);
-void qr_weights_piece(QRSidecar *s, QRPeerConn *peer,
+void qr_weights_handle_piece(QRSidecar *s, QRPeerConn *peer,
                       const Qr__Fleet__Piece *piece);
 void qr_weights_peer_closed(QRSidecar *s, const QRPeerConn *peer);
 void qr_weights_clear(QRSidecar *s);
@@ -159,13 +159,13 @@
 bool qr_link_is_slow(QRSidecar *s, uint64_t now_ms);
 void qr_link_note_slow(QRSidecar *s, uint64_t now_ms);
 /* Requests to the origin that are under way. */
-unsigned qr_pieces_from_origin(const QRSidecar *s);
+unsigned qr_pieces_count_origin_requests(const QRSidecar *s);
 /* Tells those who wait for a piece that it is here now. */
-void qr_piece_came(QRTarget *t, uint32_t index);
+void qr_piece_notify_waiters(QRTarget *t, uint32_t index);
 /* Tells those who wait for pieces that we still see to it. */
-void qr_pieces_refresh(QRSidecar *s, uint64_t now_ms);
+void qr_pieces_notify_pending(QRSidecar *s, uint64_t now_ms);
 /* Closes connections to the origin that have rested for a while. */
-void qr_pieces_rest(QRSidecar *s, uint64_t now_ms);
+void qr_pieces_close_idle_origin(QRSidecar *s, uint64_t now_ms);
 
 static inline bool qr_target_has_index(const QRTarget *t, uint32_t index)
 {
@@ -183,32 +183,32 @@
 }
 
 /* The target of that version, or NULL. */
-QRTarget *qr_target_of(const QRSidecar *s, const char *model, uint64_t version);
+QRTarget *qr_target_find(const QRSidecar *s, const char *model, uint64_t version);
 /* A target is new: some may wait for it already. */
-void qr_upload_target_came(QRSidecar *s, QRTarget *t);
+void qr_upload_bind_target(QRSidecar *s, QRTarget *t);
 /* Tells a peer how it stands with the piece that it wants. */
-void qr_upload_tell(const QRWaiter *w, Qr__Fleet__Piece__State state);
+void qr_upload_send_state(const QRWaiter *w, Qr__Fleet__Piece__State state);
 /*
  * Tells those that were taken out of the lists (QRWaiter). Sending may close a
  * peer, and whatever waits there is then taken out, too: so nobody is told
  * while a list is walked.
  */
-void qr_upload_tell_all(const GArray *out, Qr__Fleet__Piece__State state);
+void qr_upload_send_state_all(const GArray *out, Qr__Fleet__Piece__State state);
 /* Forgets waiters of 'target' or 'peer'; those of a target are told so. */
-void qr_upload_drop(QRSidecar *s, const QRTarget *target,
+void qr_upload_drop_waiters(QRSidecar *s, const QRTarget *target,
                     const QRPeerConn *peer);
 /* A piece that was sent to 'peer' has arrived there. */
-void qr_upload_taken(QRSidecar *s, const QRPeerConn *peer);
-GArray *qr_upload_sent_new(void);
+void qr_upload_note_received(QRSidecar *s, const QRPeerConn *peer);
+GArray *qr_upload_in_flight_new(void);
 /* Sends those elsewhere who wait for pieces that the engine's stage lacked. */
-void qr_upload_missing(QRTarget *t);
+void qr_upload_reject_missing(QRTarget *t);
 /* Sends those who wait for pieces elsewhere: our link is slow. */
-void qr_upload_decline(QRSidecar *s);
+void qr_upload_reject_queued(QRSidecar *s);
 
 /* Staging at the engine, and the order to start. */
 void qr_stage_tick(QRSidecar *s, uint64_t now_ms);
 /* The engine started anew: what lies there is not known. */
-void qr_stage_forget(QRSidecar *s);
+void qr_stage_reset(QRSidecar *s);
 
 /* Peers. */
 extern const QRPeerHandlers qr_sidecar_peer_handlers;
--- a/src/sidecar/qr_sidecar_peers.c
+++ b/src/sidecar/qr_sidecar_peers.c
@@ -95,7 +95,7 @@
                 slow ? "slow" : "as usual", s->window);
         s->slow_told = slow;
         if (slow)
-            qr_upload_decline(s);
+            qr_upload_reject_queued(s);
         news = true;
     }
     if (!s->report_ms || (!news && now < s->state_ms + STATE_MS))
@@ -221,10 +221,10 @@
         qr_operator_heard(&s->operator, frame->records, qr_sidecar_now(s));
         break;
     case QR__FLEET__FRAME__BODY_WANT:
-        qr_weights_want(s, peer, frame->want);
+        qr_weights_handle_want(s, peer, frame->want);
         break;
     case QR__FLEET__FRAME__BODY_PIECE:
-        qr_weights_piece(s, peer, frame->piece);
+        qr_weights_handle_piece(s, peer, frame->piece);
         break;
     case QR__FLEET__FRAME__BODY_SLOT_REQUEST:
         peer_slot_request(s, peer, member->name, frame->slot_request);
--- a/src/sidecar/qr_stage.c
+++ b/src/sidecar/qr_stage.c
@@ -8,19 +8,23 @@
 
 #define CONNECT_MS 500
 #define STAGE_TIMEOUT_MS 2000
-#define STAGE_AT_ONCE 8 /* on the machine itself; 64 pieces in a few ticks */
+#define STAGE_REQUESTS_MAX                                                     \
+    8 /* on the machine itself; 64 pieces in a few ticks */
 #define ORDER_TIMEOUT_MS 1500
-#define ORDER_AGAIN_MS 300
-#define VERIFY_FRESH_MS 2000  /* a check is good for so long */
-#define ANNOUNCED_MS 80       /* for the word to reach gateways, and calls us */
-#define SETTLE_MOST_MS 1200   /* calls there are waited for no longer */
-#define RUNNING_FEW 4         /* streams that may be cut */
+#define ORDER_RETRY_MS 300
+#define VERIFY_VALID_MS 2000  /* a check is good for so long */
+#define ANNOUNCE_DELAY_MS 80  /* for the word to reach gateways, and calls us  \
+                               */
+#define DRAIN_TIMEOUT_MS 1200 /* calls there are waited for no longer */
+#define CUT_STREAMS_MAX 4     /* streams that may be cut */
 #define SWITCH_LEAD_MS 2200   /* by then the first have all pieces */
-#define OUT_OF_USE_MS 1000    /* before a bound, gateways ask for the new one */
-#define SWITCH_MARGIN_MS 1200 /* before the bound, the last one is ordered */
+#define GATEWAY_MARGIN_MS                                                      \
+    1000 /* before a bound, gateways ask for the new one */
+#define LAST_ORDER_MARGIN_MS                                                   \
+    1200 /* before the bound, the last one is ordered */
 
 /* What was read back is right: it lies at the engine, and is here too. */
-static void piece_read_back(QRTarget *t, unsigned index, const QRWholeAnswer *a)
+static void check_read_back(QRTarget *t, unsigned index, const QRWholeAnswer *a)
 {
     QRPiece *p = qr_piece(t, index);
     char digest[QR_SHA_HEX] = "";
@@ -38,11 +42,12 @@
     if (right && !p->data) {
         p->data = g_bytes_new(a->data, a->len);
         t->held++;
-        qr_piece_came(t, index);
+        qr_piece_notify_waiters(t, index);
     }
 }
 
-static void stage_done(void *owner, unsigned index, const QRWholeAnswer *a)
+static void handle_stage_answer(void *owner, unsigned index,
+                                const QRWholeAnswer *a)
 {
     QRTarget *t = owner;
     QRPiece *p = qr_piece(t, index);
@@ -54,7 +59,7 @@
         return;
     }
     if (p->reading) {
-        piece_read_back(t, index, a);
+        check_read_back(t, index, a);
         return;
     }
     p->staged = a->status / 100 == 2;
@@ -64,7 +69,7 @@
                 a->status);
 }
 
-static void piece_stage(QRTarget *t, unsigned index, bool put)
+static void send_stage_request(QRTarget *t, unsigned index, bool put)
 {
     QRSidecar *s = t->sidecar;
     QRPiece *p = qr_piece(t, index);
@@ -80,7 +85,7 @@
     r.connect_ms = CONNECT_MS;
     r.timeout_ms = STAGE_TIMEOUT_MS;
     p->reading = !put;
-    p->stage = qr_whole_send(s->to_engine, &r, stage_done, t, index);
+    p->stage = qr_whole_send(s->to_engine, &r, handle_stage_answer, t, index);
     if (put)
         s->staged_version = t->version;
 }
@@ -94,7 +99,7 @@
     }
 }
 
-void qr_stage_forget(QRSidecar *s)
+void qr_stage_reset(QRSidecar *s)
 {
     s->staged_version = 0;
     for (unsigned i = 0; s->targets && i < s->targets->len; i++) {
@@ -116,15 +121,15 @@
         open += qr_piece(t, i)->stage != NULL;
         right += qr_piece(t, i)->staged && qr_piece(t, i)->verified;
     }
-    for (unsigned i = 0; i < t->pieces->len && open < STAGE_AT_ONCE; i++) {
+    for (unsigned i = 0; i < t->pieces->len && open < STAGE_REQUESTS_MAX; i++) {
         QRPiece *p = qr_piece(t, i);
 
         if (p->stage || p->verified)
             continue;
         if (p->staged)
-            piece_stage(t, i, false);
+            send_stage_request(t, i, false);
         else if (p->data && may_put)
-            piece_stage(t, i, true);
+            send_stage_request(t, i, true);
         else
             continue;
         open++;
@@ -132,7 +137,7 @@
     return right == t->pieces->len;
 }
 
-static bool scan_done(const QRTarget *t)
+static bool is_scan_done(const QRTarget *t)
 {
     for (unsigned i = 0; i < t->pieces->len; i++) {
         const QRPiece *p = qr_piece(t, i);
@@ -147,7 +152,7 @@
  * Looks once at what lies at the engine. Returns true when that is over. Where
  * we know that another version lies there, there is nothing to look at.
  */
-static bool scan(QRTarget *t)
+static bool scan_stage(QRTarget *t)
 {
     const QRSidecar *s = t->sidecar;
 
@@ -163,15 +168,16 @@
         mark_staged(t, true);
     }
     stage_pieces(t, false);
-    if (scan_done(t)) {
+    if (is_scan_done(t)) {
         t->scanned = true;
         t->scanning = false;
-        qr_upload_missing(t);
+        qr_upload_reject_missing(t);
     }
     return t->scanned;
 }
 
-static void order_done(void *owner, unsigned ref, const QRWholeAnswer *a)
+static void handle_order_answer(void *owner, unsigned ref,
+                                const QRWholeAnswer *a)
 {
     QRSidecar *s = owner;
 
@@ -179,7 +185,7 @@
     s->order_call = NULL;
     s->order_answered_ms = qr_sidecar_now(s);
     s->orders++;
-    s->order_next_ms = qr_sidecar_now(s) + ORDER_AGAIN_MS;
+    s->order_next_ms = qr_sidecar_now(s) + ORDER_RETRY_MS;
     s->report_next_ms = 0;
     qr_logf(QR_LEVEL_INFO, "order",
             "start version=%" G_GUINT64_FORMAT
@@ -198,11 +204,11 @@
  * version after a long stop of the machine. It waits for most of what runs,
  * too; the few long streams left are cut, and taken up at other engines.
  */
-static void order_announce(QRSidecar *s, uint64_t now_ms)
+static void announce_order(QRSidecar *s, uint64_t now_ms)
 {
     s->switching = true;
     s->announced_ms = now_ms;
-    s->report_next_ms = MIN(s->report_next_ms, now_ms + ANNOUNCED_MS);
+    s->report_next_ms = MIN(s->report_next_ms, now_ms + ANNOUNCE_DELAY_MS);
     qr_sidecar_tell_state(s, true);
 }
 
@@ -211,24 +217,24 @@
 {
     uint64_t bound = (uint64_t)s->set->version_ms;
     uint64_t due = qr_operator_version_due(
-        &s->operator, s->model, bound - MIN(bound, OUT_OF_USE_MS), now_ms);
+        &s->operator, s->model, bound - MIN(bound, GATEWAY_MARGIN_MS), now_ms);
 
     return s->report.version > 0 && s->report.version >= due;
 }
 
-static bool order_may_go(const QRSidecar *s, uint64_t now_ms)
+static bool may_send_order(const QRSidecar *s, uint64_t now_ms)
 {
     /* nobody sends calls there any more, and none is left */
     if (!is_in_use(s, now_ms) && s->report.queued + s->report.active == 0)
         return true;
-    if (now_ms > s->announced_ms + SETTLE_MOST_MS || s->report.version == 0)
+    if (now_ms > s->announced_ms + DRAIN_TIMEOUT_MS || s->report.version == 0)
         return true;
-    return s->report_asked_ms >= s->announced_ms + ANNOUNCED_MS &&
+    return s->report_asked_ms >= s->announced_ms + ANNOUNCE_DELAY_MS &&
            !s->report_call && s->report.queued == 0 &&
-           s->report.active <= RUNNING_FEW;
+           s->report.active <= CUT_STREAMS_MAX;
 }
 
-static void order_start(QRSidecar *s, const QRTarget *t)
+static void send_start_order(QRSidecar *s, const QRTarget *t)
 {
     g_autofree char *path = s->platform->order_path();
     g_autofree char *body = s->platform->start_order(s->model, t->version,
@@ -245,7 +251,7 @@
     r.timeout_ms = ORDER_TIMEOUT_MS;
     s->announced_ms = 0;
     s->ordered_version = t->version;
-    s->order_call = qr_whole_send(s->to_engine, &r, order_done, s, 0);
+    s->order_call = qr_whole_send(s->to_engine, &r, handle_order_answer, s, 0);
 }
 
 /* An engine that is of no use as it is starts at once; the others in turn. */
@@ -259,7 +265,7 @@
         return 0;
     qr_sidecar_plan(s, t->version, &plan);
     return qr_switch_at(&plan, t->since_ms + MIN(SWITCH_LEAD_MS, bound / 3),
-                        t->since_ms + bound - MIN(bound, SWITCH_MARGIN_MS));
+                        t->since_ms + bound - MIN(bound, LAST_ORDER_MARGIN_MS));
 }
 
 /*
@@ -282,14 +288,14 @@
 }
 
 /* Has pieces read back once more whose check is too old; true: none is. */
-static bool checks_fresh(QRTarget *t, uint64_t now_ms)
+static bool invalidate_old_checks(QRTarget *t, uint64_t now_ms)
 {
     bool fresh = true;
 
     for (unsigned i = 0; i < t->pieces->len; i++) {
         QRPiece *p = qr_piece(t, i);
 
-        if (now_ms <= p->verified_ms + VERIFY_FRESH_MS)
+        if (now_ms <= p->verified_ms + VERIFY_VALID_MS)
             continue;
         p->verified = false;
         fresh = false;
@@ -303,10 +309,10 @@
         now_ms < s->order_next_ms || now_ms < start_due_ms(t, now_ms))
         return;
     if (!s->announced_ms)
-        order_announce(s, now_ms);
+        announce_order(s, now_ms);
     /* read back once more while the engine empties */
-    if (checks_fresh(t, now_ms) && order_may_go(s, now_ms))
-        order_start(s, t);
+    if (invalidate_old_checks(t, now_ms) && may_send_order(s, now_ms))
+        send_start_order(s, t);
 }
 
 /* Pieces of a served version are looked at when a peer asks for them. */
@@ -316,7 +322,7 @@
         QRTarget *t = s->targets->pdata[i];
 
         if (t->pieces && !t->scanned && qr_sidecar_serves(s, t->version))
-            scan(t);
+            scan_stage(t);
     }
 }
 
@@ -334,7 +340,7 @@
         t->version != s->staging_version)
         mark_staged(t, false); /* the other version's pieces lie over ours */
     s->staging_version = t->version;
-    if (!scan(t))
+    if (!scan_stage(t))
         return;
     if (stage_pieces(t, true))
         order_tick(s, t, now_ms);
--- a/src/sidecar/qr_uploads.c
+++ b/src/sidecar/qr_uploads.c
@@ -5,15 +5,16 @@
 
 #include <string.h>
 
-#define UPLOADS_AT_ONCE 3 /* pieces sent that have not arrived yet */
-#define ARRIVED_MOST_MS                                                        \
-    1500                    /* then the peer may be dead: no longer counted    \
-                             */
-#define ARRIVED_SLOW_MS 500 /* two that take so long: our own link is slow */
-#define SAVED_MOST_MS 25    /* a tick: the link is looked at no more often */
-#define GROUPS 3            /* of sidecars, by when they switch */
-
-QRTarget *qr_target_of(const QRSidecar *s, const char *model, uint64_t version)
+#define UPLOADS_IN_FLIGHT_MAX 3 /* pieces sent that have not arrived yet */
+#define ACK_TIMEOUT_MS                                                         \
+    1500                /* then the peer may be dead: no longer counted        \
+                         */
+#define ACK_SLOW_MS 500 /* two that take so long: our own link is slow */
+#define BURST_MAX_MS 25 /* a tick: the link is looked at no more often */
+#define SWITCH_GROUPS 3 /* of sidecars, by when they switch */
+
+QRTarget *qr_target_find(const QRSidecar *s, const char *model,
+                         uint64_t version)
 {
     for (unsigned i = 0; s->model && i < s->targets->len; i++) {
         QRTarget *t = s->targets->pdata[i];
@@ -45,19 +46,19 @@
     qr_peer_send(peer, &frame);
 }
 
-void qr_upload_tell(const QRWaiter *w, Qr__Fleet__Piece__State state)
+void qr_upload_send_state(const QRWaiter *w, Qr__Fleet__Piece__State state)
 {
     send_piece(w->peer, w->target->sidecar->model, w->target->version, w->index,
                state, NULL);
 }
 
-void qr_upload_tell_all(const GArray *out, Qr__Fleet__Piece__State state)
+void qr_upload_send_state_all(const GArray *out, Qr__Fleet__Piece__State state)
 {
     for (unsigned i = 0; i < out->len; i++)
-        qr_upload_tell(&g_array_index(out, QRWaiter, i), state);
+        qr_upload_send_state(&g_array_index(out, QRWaiter, i), state);
 }
 
-static unsigned place_of_target(const QRSidecar *s, const QRTarget *t)
+static unsigned target_position(const QRSidecar *s, const QRTarget *t)
 {
     unsigned at = 0;
 
@@ -70,7 +71,7 @@
  * version, whose bound comes first; then the group that switches first. Within
  * a group all are alike: a few peers alone can't take all that we may send.
  */
-static unsigned upload_order(const QRSidecar *s, const QRWaiter *w)
+static unsigned upload_rank(const QRSidecar *s, const QRWaiter *w)
 {
     const QRFleetMember *to = qr_peer_data(w->peer);
     g_auto(QRSourcePlan) plan = {0};
@@ -81,32 +82,32 @@
                qr_source_is_relay(&plan, w->index, to)))
         return 0;
     place = to ? qr_source_place(&plan, to->name) : plan.all->len;
-    return 1 + place_of_target(s, w->target) * (GROUPS + 1) +
-           place * GROUPS / MAX(plan.all->len, 1);
+    return 1 + target_position(s, w->target) * (SWITCH_GROUPS + 1) +
+           place * SWITCH_GROUPS / MAX(plan.all->len, 1);
 }
 
 /* Puts a piece in line for a peer. */
-static void upload_later(QRSidecar *s, const QRWaiter *waiter)
+static void enqueue_upload(QRSidecar *s, const QRWaiter *waiter)
 {
     QRWaiter *w = g_memdup2(waiter, sizeof(*waiter));
     GList *at = s->uploads.head;
 
-    w->order = upload_order(s, w);
+    w->order = upload_rank(s, w);
     while (at && ((QRWaiter *)at->data)->order <= w->order)
         at = at->next;
     g_queue_insert_before(&s->uploads, at, w);
 }
 
 /* A piece was sent and has not arrived yet, as far as we know. */
-typedef struct Sent {
+typedef struct InFlight {
     QRPeerConn *peer;
     uint64_t sent_ms;
-} Sent;
+} InFlight;
 
-static bool is_on_its_way(const QRSidecar *s, const QRPeerConn *peer)
+static bool has_in_flight(const QRSidecar *s, const QRPeerConn *peer)
 {
     for (unsigned i = 0; i < s->sent->len; i++) {
-        if (g_array_index(s->sent, Sent, i).peer == peer)
+        if (g_array_index(s->sent, InFlight, i).peer == peer)
             return true;
     }
     return false;
@@ -116,14 +117,14 @@
  * The first in line to whom nothing is on its way. A peer that takes slowly,
  * since others send to it too, must not hold up the rest.
  */
-static QRWaiter *upload_next(QRSidecar *s)
+static QRWaiter *pop_upload(QRSidecar *s)
 {
-    if (s->sent->len >= UPLOADS_AT_ONCE)
+    if (s->sent->len >= UPLOADS_IN_FLIGHT_MAX)
         return NULL;
     for (GList *l = s->uploads.head; l; l = l->next) {
         QRWaiter *w = l->data;
 
-        if (is_on_its_way(s, w->peer))
+        if (has_in_flight(s, w->peer))
             continue;
         g_queue_delete_link(&s->uploads, l);
         return w;
@@ -132,25 +133,25 @@
 }
 
 /* Looks at what is on its way for long. */
-static void sent_check(QRSidecar *s, uint64_t now_ms)
+static void check_in_flight(QRSidecar *s, uint64_t now_ms)
 {
     unsigned slow = 0;
 
     for (unsigned i = s->sent->len; i > 0; i--) {
-        uint64_t sent_ms = g_array_index(s->sent, Sent, i - 1).sent_ms;
+        uint64_t sent_ms = g_array_index(s->sent, InFlight, i - 1).sent_ms;
 
-        slow += now_ms > sent_ms + ARRIVED_SLOW_MS;
-        if (now_ms > sent_ms + ARRIVED_MOST_MS)
+        slow += now_ms > sent_ms + ACK_SLOW_MS;
+        if (now_ms > sent_ms + ACK_TIMEOUT_MS)
             g_array_remove_index(s->sent, i - 1);
     }
     if (slow > 1)
         qr_link_note_slow(s, now_ms);
 }
 
-void qr_upload_taken(QRSidecar *s, const QRPeerConn *peer)
+void qr_upload_note_received(QRSidecar *s, const QRPeerConn *peer)
 {
     for (unsigned i = 0; i < s->sent->len; i++) {
-        if (g_array_index(s->sent, Sent, i).peer == peer) {
+        if (g_array_index(s->sent, InFlight, i).peer == peer) {
             g_array_remove_index(s->sent, i);
             return;
         }
@@ -163,18 +164,19 @@
     return s->reachable && s->report.active + s->report.queued > 0;
 }
 
-void qr_weights_upload(QRSidecar *s, uint64_t now_ms)
+void qr_upload_send_queued(QRSidecar *s, uint64_t now_ms)
 {
     bool yields = engine_has_calls(s);
     double share = yields ? (double)s->set->weights_link_percent / 100 : 1;
     double rate = s->set->link_mbit_s * 1e6 / 8 / 1000 * share; /* bytes a ms */
 
     /* time unused since the last look is made up for where no calls wait */
-    qr_pace_refill(&s->upload_pace, rate, yields ? 0 : SAVED_MOST_MS, now_ms);
-    sent_check(s, now_ms);
-    while (rate <= 0 || qr_pace_open(&s->upload_pace)) {
-        g_autofree QRWaiter *w = upload_next(s);
-        Sent sent;
+    qr_token_bucket_refill(&s->upload_pace, rate, yields ? 0 : BURST_MAX_MS,
+                           now_ms);
+    check_in_flight(s, now_ms);
+    while (rate <= 0 || qr_token_bucket_may_send(&s->upload_pace)) {
+        g_autofree QRWaiter *w = pop_upload(s);
+        InFlight sent;
         GBytes *data;
 
         if (!w)
@@ -182,23 +184,23 @@
         data = qr_piece(w->target, w->index)->data;
         send_piece(w->peer, s->model, w->target->version, w->index,
                    QR__FLEET__PIECE__STATE__DATA, data);
-        qr_pace_sent(&s->upload_pace, g_bytes_get_size(data));
-        sent = (Sent){w->peer, now_ms};
+        qr_token_bucket_spend(&s->upload_pace, g_bytes_get_size(data));
+        sent = (InFlight){w->peer, now_ms};
         g_array_append_val(s->sent, sent);
     }
 }
 
-static void sent_drop(QRSidecar *s, const QRPeerConn *peer)
+static void drop_in_flight(QRSidecar *s, const QRPeerConn *peer)
 {
     for (unsigned i = s->sent->len; i > 0; i--) {
-        if (g_array_index(s->sent, Sent, i - 1).peer == peer)
+        if (g_array_index(s->sent, InFlight, i - 1).peer == peer)
             g_array_remove_index(s->sent, i - 1);
     }
 }
 
-GArray *qr_upload_sent_new(void)
+GArray *qr_upload_in_flight_new(void)
 {
-    return g_array_new(FALSE, FALSE, sizeof(Sent));
+    return g_array_new(FALSE, FALSE, sizeof(InFlight));
 }
 
 static bool is_dropped(const QRWaiter *w, const QRTarget *target,
@@ -207,13 +209,13 @@
     return target ? w->target == target : w->peer == peer;
 }
 
-void qr_upload_drop(QRSidecar *s, const QRTarget *target,
-                    const QRPeerConn *peer)
+void qr_upload_drop_waiters(QRSidecar *s, const QRTarget *target,
+                            const QRPeerConn *peer)
 {
     g_autoptr(GArray) out = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
 
     if (peer)
-        sent_drop(s, peer);
+        drop_in_flight(s, peer);
     for (unsigned i = s->waiters->len; i > 0; i--) {
         QRWaiter w = g_array_index(s->waiters, QRWaiter, i - 1);
 
@@ -234,7 +236,7 @@
         l = next;
     }
     if (target)
-        qr_upload_tell_all(out, QR__FLEET__PIECE__STATE__ABSENT);
+        qr_upload_send_state_all(out, QR__FLEET__PIECE__STATE__ABSENT);
 }
 
 /* Whether the piece is looked for elsewhere: we hold the version without it. */
@@ -245,7 +247,7 @@
            qr_target_has_index(t, index) && !qr_piece(t, index)->data;
 }
 
-void qr_upload_missing(QRTarget *t)
+void qr_upload_reject_missing(QRTarget *t)
 {
     QRSidecar *s = t->sidecar;
     g_autoptr(GArray) out = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
@@ -258,15 +260,15 @@
         g_array_remove_index_fast(s->waiters, i - 1);
         g_array_append_val(out, w);
     }
-    qr_upload_tell_all(out, QR__FLEET__PIECE__STATE__ABSENT);
+    qr_upload_send_state_all(out, QR__FLEET__PIECE__STATE__ABSENT);
 }
 
-void qr_upload_decline(QRSidecar *s)
+void qr_upload_reject_queued(QRSidecar *s)
 {
     QRWaiter *w;
 
     while ((w = g_queue_pop_head(&s->uploads))) {
-        qr_upload_tell(w, QR__FLEET__PIECE__STATE__ABSENT);
+        qr_upload_send_state(w, QR__FLEET__PIECE__STATE__ABSENT);
         g_free(w);
     }
 }
@@ -283,7 +285,7 @@
  * Who is asked at a later attempt is next in the order for the piece: earlier
  * ones gave nothing, so it draws the piece as if they were not there.
  */
-static void take_over(QRPiece *p, const Qr__Fleet__Want *want)
+static void adopt_attempts(QRPiece *p, const Qr__Fleet__Want *want)
 {
     QRSourceAttempts tried = {MAX(p->tried.relays, want->attempt),
                               MAX(p->tried.roots, want->root_attempt)};
@@ -298,13 +300,13 @@
 
 /* A version that we have not heard of yet, or we know of none at all since we
    have just started: the operator's record will come. */
-static bool is_news(const QRSidecar *s, const Qr__Fleet__Want *want)
+static bool is_unknown_version(const QRSidecar *s, const Qr__Fleet__Want *want)
 {
     return (!s->model || strcmp(want->model, s->model) == 0) &&
            want->version > qr_sidecar_newest(s);
 }
 
-void qr_upload_target_came(QRSidecar *s, QRTarget *t)
+void qr_upload_bind_target(QRSidecar *s, QRTarget *t)
 {
     for (unsigned i = 0; i < s->waiters->len; i++) {
         QRWaiter *w = &g_array_index(s->waiters, QRWaiter, i);
@@ -314,14 +316,14 @@
     }
 }
 
-void qr_weights_want(QRSidecar *s, QRPeerConn *peer,
-                     const Qr__Fleet__Want *want)
+void qr_weights_handle_want(QRSidecar *s, QRPeerConn *peer,
+                            const Qr__Fleet__Want *want)
 {
-    QRWaiter w = {peer, qr_target_of(s, want->model, want->version),
+    QRWaiter w = {peer, qr_target_find(s, want->model, want->version),
                   want->version, want->index, 0};
     QRPiece *p;
 
-    if (is_news(s, want)) {
+    if (is_unknown_version(s, want)) {
         g_array_append_val(s->waiters, w);
         send_piece(peer, want->model, want->version, want->index,
                    QR__FLEET__PIECE__STATE__PENDING, NULL);
@@ -342,21 +344,21 @@
     }
     /* over a slow link even what we tell gateways would wait behind it */
     if (p && p->data && s->slow_told) {
-        qr_upload_tell(&w, QR__FLEET__PIECE__STATE__ABSENT);
+        qr_upload_send_state(&w, QR__FLEET__PIECE__STATE__ABSENT);
         return;
     }
     if (p && p->data) {
-        upload_later(s, &w);
-        qr_upload_tell(&w, QR__FLEET__PIECE__STATE__QUEUED);
+        enqueue_upload(s, &w);
+        qr_upload_send_state(&w, QR__FLEET__PIECE__STATE__QUEUED);
         return;
     }
     /* others hold the version too: were we to ask them, they might ask us */
     if (is_missing(w.target, w.index)) {
-        qr_upload_tell(&w, QR__FLEET__PIECE__STATE__ABSENT);
+        qr_upload_send_state(&w, QR__FLEET__PIECE__STATE__ABSENT);
         return;
     }
     if (p)
-        take_over(p, want);
+        adopt_attempts(p, want);
     g_array_append_val(s->waiters, w);
-    qr_upload_tell(&w, QR__FLEET__PIECE__STATE__PENDING);
+    qr_upload_send_state(&w, QR__FLEET__PIECE__STATE__PENDING);
 }
--- a/src/sidecar/qr_weights.c
+++ b/src/sidecar/qr_weights.c
@@ -36,7 +36,7 @@
             "dropped version=%" G_GUINT64_FORMAT
             " held=%u serving=%" G_GUINT64_FORMAT,
             t->version, t->held, s->report.version);
-    qr_upload_drop(s, t, NULL);
+    qr_upload_drop_waiters(s, t, NULL);
     g_ptr_array_remove(s->targets, t);
 }
 
@@ -102,7 +102,7 @@
     t->since_ms = named->since_ms;
     t->progress.last_ms = qr_sidecar_now(s);
     g_ptr_array_add(s->targets, t);
-    qr_upload_target_came(s, t);
+    qr_upload_bind_target(s, t);
     if (s->window <= 0)
         s->window = WINDOW_FIRST;
     qr_logf(QR_LEVEL_INFO, "weights",
@@ -167,7 +167,7 @@
             "uploads=%u longest=%u from=%s root=%d pending=%d "
             "asked_ago_ms=%" G_GUINT64_FORMAT " relays_tried=%u roots_tried=%u",
             t->version, t->held, t->pieces->len, asked, pending,
-            t->sidecar->window, qr_pieces_from_origin(t->sidecar),
+            t->sidecar->window, qr_pieces_count_origin_requests(t->sidecar),
             t->sidecar->uploads.length, index, longest ? longest->source : "-",
             longest && longest->from_root, longest && longest->pending,
             longest ? now - longest->first_asked_ms : 0,
@@ -231,8 +231,8 @@
     if (!s->model || !s->report_ms)
         return;
     drop_overtaken(s);
-    qr_pieces_rest(s, now_ms);
-    qr_pieces_refresh(s, now_ms);
+    qr_pieces_close_idle_origin(s, now_ms);
+    qr_pieces_notify_pending(s, now_ms);
     for (unsigned i = 0; i < s->targets->len; i++)
         target_tick(s->targets->pdata[i], now_ms);
 }
--- a/tests/unit_fleet.c
+++ b/tests/unit_fleet.c
@@ -771,24 +771,24 @@
 
 START_TEST(pace_saves_what_it_is_told_to)
 {
-    QRPace p = {0, 1000};
+    QRTokenBucket p = {0, 1000};
 
-    qr_pace_refill(&p, 10, 0, 2000); /* a rest saves nothing */
-    ck_assert(qr_pace_open(&p));
-    qr_pace_sent(&p, 300);
-    qr_pace_refill(&p, 10, 0, 2029);
-    ck_assert(!qr_pace_open(&p));
+    qr_token_bucket_refill(&p, 10, 0, 2000); /* a rest saves nothing */
+    ck_assert(qr_token_bucket_may_send(&p));
+    qr_token_bucket_spend(&p, 300);
+    qr_token_bucket_refill(&p, 10, 0, 2029);
+    ck_assert(!qr_token_bucket_may_send(&p));
     /* paid back at 2030; what is left of the tick is lost ... */
-    qr_pace_refill(&p, 10, 0, 2050);
-    ck_assert(qr_pace_open(&p));
-    qr_pace_sent(&p, 300);
-    qr_pace_refill(&p, 10, 0, 2079);
-    ck_assert(!qr_pace_open(&p));
+    qr_token_bucket_refill(&p, 10, 0, 2050);
+    ck_assert(qr_token_bucket_may_send(&p));
+    qr_token_bucket_spend(&p, 300);
+    qr_token_bucket_refill(&p, 10, 0, 2079);
+    ck_assert(!qr_token_bucket_may_send(&p));
     /* ... or not: 20 ms of it pay for a part of the next piece */
-    qr_pace_refill(&p, 10, 25, 2100);
-    qr_pace_sent(&p, 300);
-    qr_pace_refill(&p, 10, 25, 2110);
-    ck_assert(qr_pace_open(&p));
+    qr_token_bucket_refill(&p, 10, 25, 2100);
+    qr_token_bucket_spend(&p, 300);
+    qr_token_bucket_refill(&p, 10, 25, 2110);
+    ck_assert(qr_token_bucket_may_send(&p));
 }
 END_TEST
 
@@ -800,18 +800,18 @@
 
     /* pieces come, one does not */
     for (uint64_t now = 1100; now < 7000; now += 100)
-        qr_progress_note(&p, now);
-    ck_assert(!qr_progress_passed_by(&p, 2000, 5000, 6900));
-    ck_assert(qr_progress_passed_by(&p, 1500, 5000, 6900));
+        qr_progress_note_piece(&p, now);
+    ck_assert(!qr_progress_is_source_overdue(&p, 2000, 5000, 6900));
+    ck_assert(qr_progress_is_source_overdue(&p, 1500, 5000, 6900));
     /* none come: all wait */
-    ck_assert(!qr_progress_passed_by(&p, 1500, 5000, 7900));
-    ck_assert(!qr_progress_passed_by(&p, 1500, 5000, 15000));
+    ck_assert(!qr_progress_is_source_overdue(&p, 1500, 5000, 7900));
+    ck_assert(!qr_progress_is_source_overdue(&p, 1500, 5000, 15000));
     /* they come again: time counts from there */
-    qr_progress_note(&p, 16000);
-    ck_assert(!qr_progress_passed_by(&p, 1500, 5000, 16100));
+    qr_progress_note_piece(&p, 16000);
+    ck_assert(!qr_progress_is_source_overdue(&p, 1500, 5000, 16100));
     for (uint64_t now = 16100; now < 21200; now += 100)
-        qr_progress_note(&p, now);
-    ck_assert(qr_progress_passed_by(&p, 1500, 5000, 21200));
+        qr_progress_note_piece(&p, now);
+    ck_assert(qr_progress_is_source_overdue(&p, 1500, 5000, 21200));
 }
 END_TEST
 
