--- a/src/sidecar/qr_pace.h
+++ b/src/sidecar/qr_pace.h
@@ -1,30 +1,31 @@
 /*
- * How fast pieces are sent over a machine's link: a token bucket that may go
- * into debt by one piece, and by default saves nothing.
+ * Limits how fast pieces are sent over a machine's link: a token bucket that
+ * may go into debt by one piece. By default, unused time is not saved up.
  */
 #ifndef QR_PACE_H
 #define QR_PACE_H
 
 #include "base/qr_base.h"
 
-typedef struct QRTokenBucket {
+typedef struct QRUploadLimiter {
     double bytes;         /* that may be sent now; below 0: in debt */
-    uint64_t refilled_ms; /* when that was last looked at */
-} QRTokenBucket;
+    uint64_t refilled_ms; /* when 'bytes' was last updated */
+} QRUploadLimiter;
 
 /*
- * Time passes, at 'rate' bytes a ms. What was not used is kept for at most
- * 'saved_ms': a burst delays whatever else uses the link.
+ * Adds the bytes for the time since the last refill, at 'rate' bytes a ms.
+ * Unused bytes of at most 'saved_ms' are kept, because a burst delays
+ * whatever else uses the link.
  */
-void qr_token_bucket_refill(QRTokenBucket *p, double rate, unsigned saved_ms,
-                            uint64_t now_ms);
-static inline bool qr_token_bucket_may_send(const QRTokenBucket *p)
+void qr_upload_limiter_refill(QRUploadLimiter *l, double rate,
+                              unsigned saved_ms, uint64_t now_ms);
+static inline bool qr_upload_limiter_may_send(const QRUploadLimiter *l)
 {
-    return p->bytes >= 0;
+    return l->bytes >= 0;
 }
-static inline void qr_token_bucket_spend(QRTokenBucket *p, size_t bytes)
+static inline void qr_upload_limiter_spend(QRUploadLimiter *l, size_t bytes)
 {
-    p->bytes -= (double)bytes;
+    l->bytes -= (double)bytes;
 }
 
 #endif
--- a/src/sidecar/qr_pieces.c
+++ b/src/sidecar/qr_pieces.c
@@ -1,6 +1,6 @@
 /*
- * Pieces of a version, and its manifest: from peers and from the origin. The
- * manifest is handled as one more piece, whose index is QR_MANIFEST_INDEX.
+ * Fetches the pieces of a version and its manifest from peers and from the
+ * origin. The manifest is handled as a piece with index QR_MANIFEST_INDEX.
  */
 #include "qr_sidecar.h"
 
@@ -8,26 +8,28 @@
 
 #define CONNECT_MS 700
 #define ORIGIN_TIMEOUT_MS 2500
-#define ORIGIN_REQUESTS_MAX 1 /* its connections are few */
-#define ORIGIN_RETRY_MS 150   /* after a failure */
-#define ORIGIN_IDLE_MS 300    /* ... that rest are closed: others need them */
-#define STALL_MS 900          /* no piece from anybody: ask others */
-#define PEER_TIMEOUT_MS 4000  /* a peer is given so long in any case */
-#define PEER_REPLY_TIMEOUT_MS 900   /* ... that does not answer at all */
-#define PENDING_TIMEOUT_MS 1500     /* ... that said that it will have it */
-#define ROOT_TIMEOUT_MS 5000        /* ... while others come: a root */
-#define RELAY_TIMEOUT_MS 9000       /* ... a relay, which waits for a root */
-#define MEMBER_VIEWS_SETTLE_MS 1500 /* for views of members to become alike */
-#define PENDING_NOTICE_MS                                                      \
-    500 /* between two words to those who wait for a piece */
-#define MANIFEST_TIMEOUT_DIVISOR                                               \
-    3 /* of these times, for the small manifest                                \
-       */
+#define ORIGIN_REQUESTS_MAX 1 /* the origin accepts few connections */
+#define ORIGIN_RETRY_MS 150   /* delay after a failed request */
+/* Idle connections to the origin are closed: other sidecars need them. */
+#define ORIGIN_IDLE_MS 300
+#define STALL_MS 900              /* no piece from any source: ask another */
+#define PEER_TIMEOUT_MS 4000      /* for a peer to deliver a piece */
+#define PEER_REPLY_TIMEOUT_MS 900 /* for a peer to send any reply at all */
+#define PENDING_TIMEOUT_MS 1500   /* since a peer last reported PENDING */
+/* While other pieces arrive, a pending piece is waited for no longer. */
+#define ROOT_TIMEOUT_MS 5000
+#define RELAY_TIMEOUT_MS 9000       /* longer: a relay waits for a root */
+#define MEMBER_VIEWS_SETTLE_MS 1500 /* until sidecars see the same members */
+#define PENDING_NOTICE_MS 500 /* between PENDING messages to a waiting peer */
+/* The manifest is small: its peer timeouts are divided by this number. */
+#define MANIFEST_TIMEOUT_DIVISOR 3
 #define DIAL_TIMEOUT_MS 300
 #define WINDOW_MIN 1
 #define WINDOW_MAX 8
 #define WINDOW_SMALL 2
-#define SLOW_LINK_MS 1500 /* since a slow piece, or one on its way then */
+/* The link counts as slow for so long after a slow piece, and after any piece
+   that was incoming while the link was slow. */
+#define SLOW_LINK_MS 1500
 #define PIECE_FAST_MS 130 /* from its first byte to its last */
 #define PIECE_SLOW_MS 260
 
@@ -42,7 +44,7 @@
 void qr_piece_notify_waiters(QRTarget *t, uint32_t index)
 {
     QRSidecar *s = t->sidecar;
-    g_autoptr(GArray) out = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
+    g_autoptr(GArray) removed = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
 
     for (unsigned i = s->waiters->len; i > 0; i--) {
         QRWaiter w = g_array_index(s->waiters, QRWaiter, i - 1);
@@ -50,9 +52,9 @@
         if (w.target != t || w.index != index)
             continue;
         g_array_remove_index_fast(s->waiters, i - 1);
-        g_array_append_val(out, w);
+        g_array_append_val(removed, w);
     }
-    qr_upload_send_state_all(out, QR__FLEET__PIECE__STATE__READY);
+    qr_upload_send_state_all(removed, QR__FLEET__PIECE__STATE__READY);
 }
 
 static void report_target_complete(QRTarget *t)
@@ -60,15 +62,15 @@
     QRSidecar *s = t->sidecar;
 
     qr_logf(QR_LEVEL_INFO, "weights",
-            "whole version=%" G_GUINT64_FORMAT " ms=%" G_GUINT64_FORMAT
-            " origin_bytes=%" G_GUINT64_FORMAT
+            "all pieces received version=%" G_GUINT64_FORMAT
+            " ms=%" G_GUINT64_FORMAT " origin_bytes=%" G_GUINT64_FORMAT
             " peer_pieces=%" G_GUINT64_FORMAT,
             t->version, t->since_ms ? t->progress.last_ms - t->since_ms : 0,
             s->origin_bytes, s->peer_pieces);
     qr_sidecar_tell_state(s, true);
 }
 
-/* Whether the bytes are what the version has there; a manifest is read. */
+/* Whether the bytes match the version's digest. A manifest is parsed. */
 static bool is_piece_valid(QRTarget *t, uint32_t index, const void *data,
                            size_t len)
 {
@@ -80,7 +82,10 @@
     return strcmp(digest, t->manifest->digests->pdata[index]) == 0;
 }
 
-/* A piece came, from wherever: checked, kept, told to who waits for it. */
+/*
+ * Checks and stores a received piece and notifies the peers that wait for it.
+ * Returns false if the bytes are not the piece.
+ */
 static bool accept_piece(QRTarget *t, uint32_t index, const void *data,
                          size_t len, const char *from)
 {
@@ -110,23 +115,25 @@
 {
     QRTarget *t = owner;
     QRPiece *p = qr_piece(t, index);
-    uint64_t rest =
+    uint64_t retry_after_ms =
         qr_platform_rest(t->sidecar->platform, a->status, a->headers);
 
     p->fetch = NULL;
     t->sidecar->origin_bytes += a->len;
     t->sidecar->origin_used_ms = qr_sidecar_now(t->sidecar);
-    /* the next is asked for by the next tick: this connection can't take it
-       before its last bytes were looked at */
+    /* the next tick requests the next piece: this connection cannot carry
+       another request until the last bytes of this answer are processed */
     if (a->status == 200 && accept_piece(t, index, a->data, a->len, "origin"))
         return;
     qr_logf(QR_LEVEL_WARN, "weights",
             "origin failed index=%d status=%u why=%s version=%" G_GUINT64_FORMAT
             " rest_ms=%" G_GUINT64_FORMAT,
-            (int)index, a->status, a->why ? a->why : "-", t->version, rest);
+            (int)index, a->status, a->why ? a->why : "-", t->version,
+            retry_after_ms);
     p->asked = false;
     p->asked_ms = qr_sidecar_now(t->sidecar);
-    t->sidecar->origin_next_ms = p->asked_ms + MAX(ORIGIN_RETRY_MS, rest);
+    t->sidecar->origin_next_ms =
+        p->asked_ms + MAX(ORIGIN_RETRY_MS, retry_after_ms);
 }
 
 unsigned qr_pieces_count_origin_requests(const QRSidecar *s)
@@ -174,7 +181,7 @@
         qr_whole_send(s->to_origin, &r, handle_origin_answer, t, index);
 }
 
-/* The source that was asked, or dialled, gave nothing: the next one. */
+/* Moves on to the next source: the one asked or dialled did not deliver. */
 static void advance_source(QRPiece *p)
 {
     p->asked = p->pending = false;
@@ -202,7 +209,7 @@
     Qr__Fleet__Want want = QR__FLEET__WANT__INIT;
 
     p->from_root = source->role == QR_PIECE_ROOT;
-    if (!peer) { /* being dialled; the next tick sees it */
+    if (!peer) { /* still being dialled; the next tick checks again */
         if (p->dial_ms == 0)
             p->dial_ms = now;
         else if (now > p->dial_ms + DIAL_TIMEOUT_MS)
@@ -228,7 +235,7 @@
     p->source = g_strdup(source->from->name);
 }
 
-/* Pieces on their way to us from peers: asked for where they are, or may be. */
+/* Pieces requested from peers that have not said that the piece is pending. */
 static unsigned count_incoming(const QRSidecar *s)
 {
     unsigned n = 0;
@@ -246,14 +253,15 @@
 }
 
 /*
- * A piece came in 'ms'. The window grows while pieces come fast, and shrinks
- * when they fill the link: calls to the engine wait behind them.
+ * Adapts the window of incoming pieces to one that took 'ms' to receive. The
+ * window grows while pieces arrive fast. It shrinks when pieces fill the link,
+ * because calls to the engine wait behind them.
  */
 static void adapt_window(QRSidecar *s, uint64_t ms)
 {
     uint64_t now = qr_sidecar_now(s);
 
-    /* few were on their way: it is the link itself that is slow */
+    /* with few pieces incoming, the link itself is slow */
     if (ms > PIECE_SLOW_MS && s->window <= WINDOW_SMALL)
         qr_link_note_slow(s, now);
     if (ms > PIECE_SLOW_MS)
@@ -273,26 +281,27 @@
 {
     if (now_ms >= s->slow_until_ms)
         return false;
-    /* what is on its way will tell: until then it stays slow */
+    /* incoming pieces will show the speed; until then the link stays slow */
     if (s->targets && count_incoming(s) > 0)
         s->slow_until_ms = MAX(s->slow_until_ms, now_ms + SLOW_LINK_MS);
     return true;
 }
 
-/* Time to look for another source. */
+/* Whether it is time to try another source. */
 static bool is_overdue(const QRTarget *t, uint32_t index, uint64_t now)
 {
     const QRPiece *p = qr_piece(t, index);
-    uint64_t wait = p->from_root ? ROOT_TIMEOUT_MS : RELAY_TIMEOUT_MS;
-    uint64_t share = index == QR_MANIFEST_INDEX ? MANIFEST_TIMEOUT_DIVISOR : 1;
+    uint64_t pending_ms = p->from_root ? ROOT_TIMEOUT_MS : RELAY_TIMEOUT_MS;
+    uint64_t divisor =
+        index == QR_MANIFEST_INDEX ? MANIFEST_TIMEOUT_DIVISOR : 1;
 
     if (p->pending)
         return now > p->asked_ms + PENDING_TIMEOUT_MS ||
                qr_progress_is_source_overdue(&t->progress, p->first_asked_ms,
-                                             wait, now);
+                                             pending_ms, now);
     if (p->asked && !p->heard)
-        return now > p->asked_ms + PEER_REPLY_TIMEOUT_MS / share;
-    if (now > p->asked_ms + PEER_TIMEOUT_MS / share)
+        return now > p->asked_ms + PEER_REPLY_TIMEOUT_MS / divisor;
+    if (now > p->asked_ms + PEER_TIMEOUT_MS / divisor)
         return true;
     return now > p->asked_ms + STALL_MS && now > t->progress.last_ms + STALL_MS;
 }
@@ -316,9 +325,11 @@
 }
 
 /*
- * Who sees other members than the askers do draws the piece by its own order
- * first: most of them see the same a moment later. If that waits in vain the
- * askers may be the ones that are waited for.
+ * The role by which the source of a piece is chosen. This sidecar may see other
+ * members than the peers that ask for the piece do. At first it uses its own
+ * order, because most sidecars see the same members a moment later. If the
+ * piece stays pending, its source may be one of the asking peers, which wait
+ * for this sidecar; the role that those peers assigned is then used.
  */
 static QRPieceRole effective_role(QRPiece *p, uint64_t now_ms)
 {
@@ -328,8 +339,9 @@
 }
 
 /*
- * A source that has no piece yet is waited for only while it is the one to
- * ask: sidecars that saw different members may wait for one another.
+ * A source that does not have the piece yet is waited for only while it is
+ * still the preferred source, because sidecars that see different members
+ * could otherwise wait for one another.
  */
 void qr_piece_tick(QRTarget *t, uint32_t index, const QRSourcePlan *plan,
                    uint64_t now_ms)
@@ -421,7 +433,8 @@
         advance_source(p);
 }
 
-/* Of a peer's connections only the one that was asked on matters. */
+/* A peer may have several connections. A request fails only if the connection
+   that carried it closes. */
 void qr_weights_peer_closed(QRSidecar *s, const QRPeerConn *peer)
 {
     qr_upload_drop_waiters(s, NULL, peer);
--- a/src/sidecar/qr_progress.c
+++ b/src/sidecar/qr_progress.c
@@ -1,9 +1,10 @@
 /*
- * Whether pieces of a version come at all.
+ * Tracks whether pieces of a version are arriving at all.
  */
 #include "qr_progress.h"
 
-/* No piece of a version for so long: its origin is away, not one source. */
+/* After so long without any piece of a version, the origin is unavailable
+   rather than one source. */
 #define STALLED_AFTER_MS 1000
 
 static bool is_stalled(const QRProgress *p, uint64_t now_ms)
--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -110,7 +110,7 @@
     GArray *waiters;          /* QRWaiter: their pieces are not here yet */
     GQueue uploads; /* QRWaiter *: pieces to send, first asked first */
     GArray *sent;   /* pieces sent that have not arrived yet */
-    QRTokenBucket upload_pace;
+    QRUploadLimiter upload_pace;
     uint64_t slow_until_ms;  /* see qr_link_is_slow() */
     uint64_t refresh_ms;     /* when those who wait here are told so next */
     uint64_t origin_next_ms; /* the origin failed: not asked before */
@@ -145,9 +145,9 @@
 /* Sends pieces that peers asked for, no faster than the link may carry. */
 void qr_upload_send_queued(QRSidecar *s, uint64_t now_ms);
 void qr_weights_handle_want(QRSidecar *s, QRPeerConn *peer,
-                     const Qr__Fleet__Want *want);
+                            const Qr__Fleet__Want *want);
 void qr_weights_handle_piece(QRSidecar *s, QRPeerConn *peer,
-                      const Qr__Fleet__Piece *piece);
+                             const Qr__Fleet__Piece *piece);
 void qr_weights_peer_closed(QRSidecar *s, const QRPeerConn *peer);
 void qr_weights_clear(QRSidecar *s);
 /* Takes the manifest's bytes over. Returns false if they are not of it. */
@@ -183,7 +183,8 @@
 }
 
 /* The target of that version, or NULL. */
-QRTarget *qr_target_find(const QRSidecar *s, const char *model, uint64_t version);
+QRTarget *qr_target_find(const QRSidecar *s, const char *model,
+                         uint64_t version);
 /* A target is new: some may wait for it already. */
 void qr_upload_bind_target(QRSidecar *s, QRTarget *t);
 /* Tells a peer how it stands with the piece that it wants. */
@@ -196,7 +197,7 @@
 void qr_upload_send_state_all(const GArray *out, Qr__Fleet__Piece__State state);
 /* Forgets waiters of 'target' or 'peer'; those of a target are told so. */
 void qr_upload_drop_waiters(QRSidecar *s, const QRTarget *target,
-                    const QRPeerConn *peer);
+                            const QRPeerConn *peer);
 /* A piece that was sent to 'peer' has arrived there. */
 void qr_upload_note_received(QRSidecar *s, const QRPeerConn *peer);
 GArray *qr_upload_in_flight_new(void);
--- a/src/sidecar/qr_stage.c
+++ b/src/sidecar/qr_stage.c
@@ -1,6 +1,6 @@
 /*
- * Staging at the engine: pieces put, read back and checked; then the order to
- * start them.
+ * Stages weights at the engine: puts pieces, reads them back, checks them, and
+ * then orders the engine to start the version.
  */
 #include "qr_sidecar.h"
 
@@ -8,38 +8,43 @@
 
 #define CONNECT_MS 500
 #define STAGE_TIMEOUT_MS 2000
-#define STAGE_REQUESTS_MAX                                                     \
-    8 /* on the machine itself; 64 pieces in a few ticks */
+/* The engine is on the same machine: 64 pieces are staged in a few ticks. */
+#define STAGE_REQUESTS_MAX 8
 #define ORDER_TIMEOUT_MS 1500
 #define ORDER_RETRY_MS 300
-#define VERIFY_VALID_MS 2000  /* a check is good for so long */
-#define ANNOUNCE_DELAY_MS 80  /* for the word to reach gateways, and calls us  \
-                               */
-#define DRAIN_TIMEOUT_MS 1200 /* calls there are waited for no longer */
-#define CUT_STREAMS_MAX 4     /* streams that may be cut */
-#define SWITCH_LEAD_MS 2200   /* by then the first have all pieces */
-#define GATEWAY_MARGIN_MS                                                      \
-    1000 /* before a bound, gateways ask for the new one */
-#define LAST_ORDER_MARGIN_MS                                                   \
-    1200 /* before the bound, the last one is ordered */
-
-/* What was read back is right: it lies at the engine, and is here too. */
+#define VERIFY_VALID_MS 2000 /* a read-back check is valid for so long */
+/* For the announcement to reach gateways, and for calls that they have sent
+   to reach the engine. */
+#define ANNOUNCE_DELAY_MS 80
+#define DRAIN_TIMEOUT_MS 1200 /* for calls at the engine to end */
+#define CUT_STREAMS_MAX 4     /* running streams that a start may cut */
+#define SWITCH_LEAD_MS 2200   /* by then the first sidecars have all pieces */
+/* So long before the bound, gateways require the new version. */
+#define GATEWAY_MARGIN_MS 1000
+/* So long before the bound, the last engine is ordered to start. */
+#define LAST_ORDER_MARGIN_MS 1200
+
+/*
+ * Handles the answer to reading a piece back. A piece that matches its digest
+ * is staged at the engine, and its bytes are also kept here.
+ */
 static void check_read_back(QRTarget *t, unsigned index, const QRWholeAnswer *a)
 {
     QRPiece *p = qr_piece(t, index);
     char digest[QR_SHA_HEX] = "";
-    bool right = false;
+    bool valid = false;
 
     if (a->status == 200) {
         qr_sha256_hex(a->data, a->len, digest);
-        right = strcmp(digest, t->manifest->digests->pdata[index]) == 0;
+        valid = strcmp(digest, t->manifest->digests->pdata[index]) == 0;
     }
-    if (!right && t->scanned && p->staged)
-        qr_logf(QR_LEVEL_WARN, "stage", "piece turned bad index=%u status=%u",
-                index, a->status);
-    p->staged = p->verified = right;
+    if (!valid && t->scanned && p->staged)
+        qr_logf(QR_LEVEL_WARN, "stage",
+                "staged piece is missing or damaged index=%u status=%u", index,
+                a->status);
+    p->staged = p->verified = valid;
     p->verified_ms = qr_sidecar_now(t->sidecar);
-    if (right && !p->data) {
+    if (valid && !p->data) {
         p->data = g_bytes_new(a->data, a->len);
         t->held++;
         qr_piece_notify_waiters(t, index);
@@ -53,7 +58,7 @@
     QRPiece *p = qr_piece(t, index);
 
     p->stage = NULL;
-    if (a->status == 0) { /* no answer: what lies there is not known */
+    if (a->status == 0) { /* no answer: what the engine holds is unknown */
         p->verified = false;
         p->staged = p->reading && p->staged;
         return;
@@ -65,7 +70,8 @@
     p->staged = a->status / 100 == 2;
     p->verified = false;
     if (!p->staged)
-        qr_logf(QR_LEVEL_WARN, "stage", "put refused index=%u status=%u", index,
+        qr_logf(QR_LEVEL_WARN, "stage",
+                "engine refused to stage piece index=%u status=%u", index,
                 a->status);
 }
 
@@ -90,7 +96,7 @@
         s->staged_version = t->version;
 }
 
-/* Marks all pieces as lying there or not; reading back tells the truth. */
+/* Marks all pieces as staged or not. Reading back verifies the mark. */
 static void mark_staged(QRTarget *t, bool staged)
 {
     for (unsigned i = 0; i < t->pieces->len; i++) {
@@ -110,18 +116,19 @@
 }
 
 /*
- * Reads back, and puts if that is allowed, a few pieces at once. True: all lie
- * there, checked.
+ * Reads back pieces, and puts pieces if 'may_put', a few at a time. Returns
+ * true if all pieces are staged and verified.
  */
 static bool stage_pieces(QRTarget *t, bool may_put)
 {
-    unsigned open = 0, right = 0;
+    unsigned in_flight = 0, verified = 0;
 
     for (unsigned i = 0; i < t->pieces->len; i++) {
-        open += qr_piece(t, i)->stage != NULL;
-        right += qr_piece(t, i)->staged && qr_piece(t, i)->verified;
+        in_flight += qr_piece(t, i)->stage != NULL;
+        verified += qr_piece(t, i)->staged && qr_piece(t, i)->verified;
     }
-    for (unsigned i = 0; i < t->pieces->len && open < STAGE_REQUESTS_MAX; i++) {
+    for (unsigned i = 0; i < t->pieces->len && in_flight < STAGE_REQUESTS_MAX;
+         i++) {
         QRPiece *p = qr_piece(t, i);
 
         if (p->stage || p->verified)
@@ -132,9 +139,9 @@
             send_stage_request(t, i, true);
         else
             continue;
-        open++;
+        in_flight++;
     }
-    return right == t->pieces->len;
+    return verified == t->pieces->len;
 }
 
 static bool is_scan_done(const QRTarget *t)
@@ -149,8 +156,9 @@
 }
 
 /*
- * Looks once at what lies at the engine. Returns true when that is over. Where
- * we know that another version lies there, there is nothing to look at.
+ * Reads back once which pieces are staged at the engine. Returns true when the
+ * scan is complete. If another version is known to be staged there, nothing is
+ * read.
  */
 static bool scan_stage(QRTarget *t)
 {
@@ -193,16 +201,18 @@
             s->ordered_version, a->status, s->report.sequence,
             a->why ? a->why : "-");
     if (a->status == 202 || a->status == 200 || a->status == 0)
-        return; /* without an answer it may have been taken: the report tells */
+        return; /* an unanswered order may have been accepted: the next report
+                   shows whether it was */
     s->switching = false;
     qr_sidecar_tell_state(s, true);
 }
 
 /*
- * Gateways are told first, and the order waits until what they had sent has
- * begun: nothing may lie queued at the engine that would begin on the old
- * version after a long stop of the machine. It waits for most of what runs,
- * too; the few long streams left are cut, and taken up at other engines.
+ * Announces the order to gateways. The order then waits until the calls that
+ * gateways had sent have begun: a call still queued at the engine could begin
+ * on the old version after a long pause of the machine. The order also waits
+ * until most running calls have ended. The few long streams that remain are
+ * cut and resumed at other engines.
  */
 static void announce_order(QRSidecar *s, uint64_t now_ms)
 {
@@ -212,7 +222,7 @@
     qr_sidecar_tell_state(s, true);
 }
 
-/* Whether gateways still send calls to the engine, for the version it has. */
+/* Whether gateways still send calls to the engine at its current version. */
 static bool is_in_use(const QRSidecar *s, uint64_t now_ms)
 {
     uint64_t bound = (uint64_t)s->set->version_ms;
@@ -224,7 +234,7 @@
 
 static bool may_send_order(const QRSidecar *s, uint64_t now_ms)
 {
-    /* nobody sends calls there any more, and none is left */
+    /* gateways send no more calls to the engine, and none is left there */
     if (!is_in_use(s, now_ms) && s->report.queued + s->report.active == 0)
         return true;
     if (now_ms > s->announced_ms + DRAIN_TIMEOUT_MS || s->report.version == 0)
@@ -254,7 +264,8 @@
     s->order_call = qr_whole_send(s->to_engine, &r, handle_order_answer, s, 0);
 }
 
-/* An engine that is of no use as it is starts at once; the others in turn. */
+/* When the engine may start the version. An engine that gateways do not use
+   starts at once; the others start in turn. */
 static uint64_t start_due_ms(const QRTarget *t, uint64_t now_ms)
 {
     const QRSidecar *s = t->sidecar;
@@ -269,8 +280,8 @@
 }
 
 /*
- * The version to be staged: the newest that is whole; until one is, the
- * oldest, which will be whole first.
+ * The version to stage: the newest of which all pieces are here. Until there is
+ * one, the oldest version, which will be complete first.
  */
 static QRTarget *stage_target(const QRSidecar *s)
 {
@@ -287,10 +298,11 @@
     return chosen;
 }
 
-/* Has pieces read back once more whose check is too old; true: none is. */
+/* Marks pieces whose check is too old to be read back again. Returns true if
+   there are none. */
 static bool invalidate_old_checks(QRTarget *t, uint64_t now_ms)
 {
-    bool fresh = true;
+    bool all_valid = true;
 
     for (unsigned i = 0; i < t->pieces->len; i++) {
         QRPiece *p = qr_piece(t, i);
@@ -298,9 +310,9 @@
         if (now_ms <= p->verified_ms + VERIFY_VALID_MS)
             continue;
         p->verified = false;
-        fresh = false;
+        all_valid = false;
     }
-    return fresh;
+    return all_valid;
 }
 
 static void order_tick(QRSidecar *s, QRTarget *t, uint64_t now_ms)
@@ -310,12 +322,13 @@
         return;
     if (!s->announced_ms)
         announce_order(s, now_ms);
-    /* read back once more while the engine empties */
+    /* pieces are read back again while the engine drains */
     if (invalidate_old_checks(t, now_ms) && may_send_order(s, now_ms))
         send_start_order(s, t);
 }
 
-/* Pieces of a served version are looked at when a peer asks for them. */
+/* Scans the engine's pieces of each version that it serves, because peers may
+   ask for them. */
 static void scan_served(QRSidecar *s)
 {
     for (unsigned i = 0; i < s->targets->len; i++) {
@@ -338,7 +351,7 @@
         return;
     if (s->staged_version && s->staged_version != t->version && t->scanned &&
         t->version != s->staging_version)
-        mark_staged(t, false); /* the other version's pieces lie over ours */
+        mark_staged(t, false); /* the other version's pieces replaced these */
     s->staging_version = t->version;
     if (!scan_stage(t))
         return;
--- a/src/sidecar/qr_uploads.c
+++ b/src/sidecar/qr_uploads.c
@@ -1,17 +1,17 @@
 /*
- * Pieces that other sidecars ask for: who waits, who is next, how fast.
+ * Sends pieces to the sidecars that ask for them: keeps the waiting peers,
+ * orders the queue and limits the rate.
  */
 #include "qr_sidecar.h"
 
 #include <string.h>
 
-#define UPLOADS_IN_FLIGHT_MAX 3 /* pieces sent that have not arrived yet */
-#define ACK_TIMEOUT_MS                                                         \
-    1500                /* then the peer may be dead: no longer counted        \
-                         */
-#define ACK_SLOW_MS 500 /* two that take so long: our own link is slow */
-#define BURST_MAX_MS 25 /* a tick: the link is looked at no more often */
-#define SWITCH_GROUPS 3 /* of sidecars, by when they switch */
+#define UPLOADS_IN_FLIGHT_MAX 3 /* pieces sent and not acknowledged */
+#define ACK_TIMEOUT_MS 1500     /* then the peer may be dead: not counted */
+/* Two pieces unacknowledged for so long: this machine's link is slow. */
+#define ACK_SLOW_MS 500
+#define BURST_MAX_MS 25 /* one tick: the limiter is refilled no more often */
+#define SWITCH_GROUPS 3 /* groups of sidecars, by when they switch versions */
 
 QRTarget *qr_target_find(const QRSidecar *s, const char *model,
                          uint64_t version)
@@ -67,9 +67,11 @@
 }
 
 /*
- * Whose piece goes first, the lesser: relays, which pass it on; then the older
- * version, whose bound comes first; then the group that switches first. Within
- * a group all are alike: a few peers alone can't take all that we may send.
+ * The rank of an upload; lower ranks are sent first. First come peers that
+ * forward the piece (relays, and peers of other regions), then the older
+ * version, whose bound comes first, then the group of sidecars that switches
+ * first. Within a group all have the same rank, because a few peers alone
+ * cannot receive as much as this sidecar may send.
  */
 static unsigned upload_rank(const QRSidecar *s, const QRWaiter *w)
 {
@@ -86,7 +88,7 @@
            place * SWITCH_GROUPS / MAX(plan.all->len, 1);
 }
 
-/* Puts a piece in line for a peer. */
+/* Queues a piece for a peer, behind those of the same rank. */
 static void enqueue_upload(QRSidecar *s, const QRWaiter *waiter)
 {
     QRWaiter *w = g_memdup2(waiter, sizeof(*waiter));
@@ -98,7 +100,7 @@
     g_queue_insert_before(&s->uploads, at, w);
 }
 
-/* A piece was sent and has not arrived yet, as far as we know. */
+/* A piece that was sent and has not been acknowledged. */
 typedef struct InFlight {
     QRPeerConn *peer;
     uint64_t sent_ms;
@@ -114,8 +116,9 @@
 }
 
 /*
- * The first in line to whom nothing is on its way. A peer that takes slowly,
- * since others send to it too, must not hold up the rest.
+ * Takes the first queued upload whose peer has no piece in flight; NULL: none.
+ * A peer that receives slowly, because others send to it too, must not delay
+ * the rest. The caller frees the result.
  */
 static QRWaiter *pop_upload(QRSidecar *s)
 {
@@ -132,7 +135,8 @@
     return NULL;
 }
 
-/* Looks at what is on its way for long. */
+/* Detects a slow link from late pieces, and stops counting those that were not
+   acknowledged in time. */
 static void check_in_flight(QRSidecar *s, uint64_t now_ms)
 {
     unsigned slow = 0;
@@ -158,7 +162,7 @@
     }
 }
 
-/* Calls of the engine share its machine's link with the pieces that we send. */
+/* Whether the engine has calls, which share the machine's link with uploads. */
 static bool engine_has_calls(const QRSidecar *s)
 {
     return s->reachable && s->report.active + s->report.queued > 0;
@@ -166,15 +170,15 @@
 
 void qr_upload_send_queued(QRSidecar *s, uint64_t now_ms)
 {
-    bool yields = engine_has_calls(s);
-    double share = yields ? (double)s->set->weights_link_percent / 100 : 1;
-    double rate = s->set->link_mbit_s * 1e6 / 8 / 1000 * share; /* bytes a ms */
+    bool engine_busy = engine_has_calls(s);
+    double share = engine_busy ? (double)s->set->weights_link_percent / 100 : 1;
+    double bytes_per_ms = s->set->link_mbit_s * 1e6 / 8 / 1000 * share;
 
-    /* time unused since the last look is made up for where no calls wait */
-    qr_token_bucket_refill(&s->upload_pace, rate, yields ? 0 : BURST_MAX_MS,
-                           now_ms);
+    /* unused time since the last refill is saved only if no calls wait */
+    qr_upload_limiter_refill(&s->upload_pace, bytes_per_ms,
+                             engine_busy ? 0 : BURST_MAX_MS, now_ms);
     check_in_flight(s, now_ms);
-    while (rate <= 0 || qr_token_bucket_may_send(&s->upload_pace)) {
+    while (bytes_per_ms <= 0 || qr_upload_limiter_may_send(&s->upload_pace)) {
         g_autofree QRWaiter *w = pop_upload(s);
         InFlight sent;
         GBytes *data;
@@ -184,7 +188,7 @@
         data = qr_piece(w->target, w->index)->data;
         send_piece(w->peer, s->model, w->target->version, w->index,
                    QR__FLEET__PIECE__STATE__DATA, data);
-        qr_token_bucket_spend(&s->upload_pace, g_bytes_get_size(data));
+        qr_upload_limiter_spend(&s->upload_pace, g_bytes_get_size(data));
         sent = (InFlight){w->peer, now_ms};
         g_array_append_val(s->sent, sent);
     }
@@ -212,7 +216,7 @@
 void qr_upload_drop_waiters(QRSidecar *s, const QRTarget *target,
                             const QRPeerConn *peer)
 {
-    g_autoptr(GArray) out = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
+    g_autoptr(GArray) removed = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
 
     if (peer)
         drop_in_flight(s, peer);
@@ -222,24 +226,25 @@
         if (!is_dropped(&w, target, peer))
             continue;
         g_array_remove_index_fast(s->waiters, i - 1);
-        g_array_append_val(out, w);
+        g_array_append_val(removed, w);
     }
     for (GList *l = s->uploads.head; l;) {
         GList *next = l->next;
         QRWaiter *w = l->data;
 
         if (is_dropped(w, target, peer)) {
-            g_array_append_val(out, *w);
+            g_array_append_val(removed, *w);
             g_free(w);
             g_queue_delete_link(&s->uploads, l);
         }
         l = next;
     }
     if (target)
-        qr_upload_send_state_all(out, QR__FLEET__PIECE__STATE__ABSENT);
+        qr_upload_send_state_all(removed, QR__FLEET__PIECE__STATE__ABSENT);
 }
 
-/* Whether the piece is looked for elsewhere: we hold the version without it. */
+/* Whether peers must get the piece elsewhere: the engine serves the version,
+   but its stage lacks the piece. */
 static bool is_missing(const QRTarget *t, uint32_t index)
 {
     return t->scanned && index != QR_MANIFEST_INDEX &&
@@ -250,7 +255,7 @@
 void qr_upload_reject_missing(QRTarget *t)
 {
     QRSidecar *s = t->sidecar;
-    g_autoptr(GArray) out = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
+    g_autoptr(GArray) removed = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
 
     for (unsigned i = s->waiters->len; i > 0; i--) {
         QRWaiter w = g_array_index(s->waiters, QRWaiter, i - 1);
@@ -258,9 +263,9 @@
         if (w.target != t || !is_missing(t, w.index))
             continue;
         g_array_remove_index_fast(s->waiters, i - 1);
-        g_array_append_val(out, w);
+        g_array_append_val(removed, w);
     }
-    qr_upload_send_state_all(out, QR__FLEET__PIECE__STATE__ABSENT);
+    qr_upload_send_state_all(removed, QR__FLEET__PIECE__STATE__ABSENT);
 }
 
 void qr_upload_reject_queued(QRSidecar *s)
@@ -282,8 +287,9 @@
 }
 
 /*
- * Who is asked at a later attempt is next in the order for the piece: earlier
- * ones gave nothing, so it draws the piece as if they were not there.
+ * Adopts the attempt counts of a peer that asks for the piece. At a later
+ * attempt this sidecar is the next source in the order for the piece. The
+ * earlier sources did not deliver, so this sidecar skips them too.
  */
 static void adopt_attempts(QRPiece *p, const Qr__Fleet__Want *want)
 {
@@ -298,8 +304,8 @@
     p->asked = p->pending = false;
 }
 
-/* A version that we have not heard of yet, or we know of none at all since we
-   have just started: the operator's record will come. */
+/* Whether the wanted version is newer than any known here, or none is known
+   because this sidecar has just started. The operator's record will follow. */
 static bool is_unknown_version(const QRSidecar *s, const Qr__Fleet__Want *want)
 {
     return (!s->model || strcmp(want->model, s->model) == 0) &&
@@ -342,7 +348,7 @@
                    QR__FLEET__PIECE__STATE__DATA, p->data);
         return;
     }
-    /* over a slow link even what we tell gateways would wait behind it */
+    /* over a slow link, state sent to gateways would wait behind pieces */
     if (p && p->data && s->slow_told) {
         qr_upload_send_state(&w, QR__FLEET__PIECE__STATE__ABSENT);
         return;
@@ -352,7 +358,8 @@
         qr_upload_send_state(&w, QR__FLEET__PIECE__STATE__QUEUED);
         return;
     }
-    /* others hold the version too: were we to ask them, they might ask us */
+    /* other sidecars hold the version too; if this one asked them, they
+       could ask this one in turn */
     if (is_missing(w.target, w.index)) {
         qr_upload_send_state(&w, QR__FLEET__PIECE__STATE__ABSENT);
         return;
--- a/tests/test_dead_peers.py
+++ b/tests/test_dead_peers.py
@@ -1,11 +1,11 @@
-"""A sidecar whose heap was corrupted.
+"""Guards against a double free when peers die while they wait for pieces.
 
-Seen: on a large site a process ended by itself as it woke from a standstill.
-Course: peers wait for pieces of a version; the version is dropped for a newer one,
-and each of them is told. Some have died, which nobody has read yet.
-Cause: telling a dead peer closes it, and all that waits there is taken out of the
-list that was being walked, the row being told among it: freed twice.
-Proof: the course below, under the address sanitizer, two of three times.
+Peers wait for pieces of a version, and die without the sidecar noticing. The
+version is then dropped for a newer one, and each waiting peer is sent a message.
+Sending to a dead peer closes its connection and removes all its waiting entries.
+The sidecar was walking that list and freed the current entry twice; on a large
+site a sidecar crashed in this way as it resumed after a pause of its process.
+With the fault, the address sanitizer finds it in two of three runs of this test.
 """
 import json
 import signal
@@ -19,12 +19,12 @@
 from standin_platform import CHUNKS, LINGER_RESET
 
 ROUNDS = 3       # the peers have to die within one tick of 20 ms
-TICK_PART_S = 0.004
-SLOW_MBIT_S = 0.0001  # what is asked for stays in line
+PART_OF_TICK_S = 0.004
+SLOW_MBIT_S = 0.0001  # requested pieces stay queued
 
 
-def waiting_peers(address, version, dead_after):
-    """Three that ask for all pieces; no others of the same names come."""
+def start_waiting_peers(address, version, to_close):
+    """Three peers that ask for all pieces; their names are not used again."""
     peers = []
     for k in range(3):
         name = "p%d-%d" % (version, k)
@@ -32,10 +32,10 @@
         for i in range(CHUNKS):
             peer.want(version, i)
         peers.append(peer.conn)
-    dead_after[:] = peers
+    to_close[:] = peers
 
 
-def test_who_has_died_may_be_told_that_a_version_is_dropped():
+def test_dead_waiting_peers_do_not_crash_a_version_drop():
     with Fleet(plain=0, version_ms=20000) as fleet:
         engine = fleet.add_engine("m0", "engines", MODEL, 1)
         fleet.start_sidecar(0, engine)
@@ -51,14 +51,14 @@
         wait_for("sidecar", lambda: "told engine=" in fleet.log("g0"))
         peers, lock, real = [], threading.Lock(), fleet.origin.handle
 
-        def last_piece_then_death(conn, request):
+        def send_piece_and_kill_peers_after_the_last(conn, request):
             with lock:
                 real(conn, request)
                 version = int(request.query["version"])
                 if len({i for v, i in fleet.origin.answered
                         if v == version}) < CHUNKS or not peers:
                     return
-                time.sleep(TICK_PART_S)
+                time.sleep(PART_OF_TICK_S)
                 fleet.procs["s0"].send_signal(signal.SIGSTOP)
                 for conn in peers:
                     conn.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
@@ -68,13 +68,13 @@
                 time.sleep(0.03)
                 fleet.procs["s0"].send_signal(signal.SIGCONT)
 
-        fleet.origin.handle = last_piece_then_death
+        fleet.origin.handle = send_piece_and_kill_peers_after_the_last
         for version in range(2, 2 + ROUNDS):
             fleet.store.put("keyed.op", "version/" + MODEL,
                             {"model": MODEL, "version": version})
             wait_for("version %d to be whole" % version, lambda v=version:
-                     "whole version=%d " % v in fleet.log("s0"), 15)
+                     "all pieces received version=%d " % v in fleet.log("s0"), 15)
             time.sleep(0.5)
             assert fleet.procs["s0"].poll() is None, fleet.log("s0")[-3000:]
-            waiting_peers(settings["peers"], version, peers)
+            start_waiting_peers(settings["peers"], version, peers)
         assert fleet.procs["s0"].poll() is None
--- a/tests/unit_fleet.c
+++ b/tests/unit_fleet.c
@@ -771,24 +771,24 @@
 
 START_TEST(pace_saves_what_it_is_told_to)
 {
-    QRTokenBucket p = {0, 1000};
+    QRUploadLimiter p = {0, 1000};
 
-    qr_token_bucket_refill(&p, 10, 0, 2000); /* a rest saves nothing */
-    ck_assert(qr_token_bucket_may_send(&p));
-    qr_token_bucket_spend(&p, 300);
-    qr_token_bucket_refill(&p, 10, 0, 2029);
-    ck_assert(!qr_token_bucket_may_send(&p));
+    qr_upload_limiter_refill(&p, 10, 0, 2000); /* a rest saves nothing */
+    ck_assert(qr_upload_limiter_may_send(&p));
+    qr_upload_limiter_spend(&p, 300);
+    qr_upload_limiter_refill(&p, 10, 0, 2029);
+    ck_assert(!qr_upload_limiter_may_send(&p));
     /* paid back at 2030; what is left of the tick is lost ... */
-    qr_token_bucket_refill(&p, 10, 0, 2050);
-    ck_assert(qr_token_bucket_may_send(&p));
-    qr_token_bucket_spend(&p, 300);
-    qr_token_bucket_refill(&p, 10, 0, 2079);
-    ck_assert(!qr_token_bucket_may_send(&p));
+    qr_upload_limiter_refill(&p, 10, 0, 2050);
+    ck_assert(qr_upload_limiter_may_send(&p));
+    qr_upload_limiter_spend(&p, 300);
+    qr_upload_limiter_refill(&p, 10, 0, 2079);
+    ck_assert(!qr_upload_limiter_may_send(&p));
     /* ... or not: 20 ms of it pay for a part of the next piece */
-    qr_token_bucket_refill(&p, 10, 25, 2100);
-    qr_token_bucket_spend(&p, 300);
-    qr_token_bucket_refill(&p, 10, 25, 2110);
-    ck_assert(qr_token_bucket_may_send(&p));
+    qr_upload_limiter_refill(&p, 10, 25, 2100);
+    qr_upload_limiter_spend(&p, 300);
+    qr_upload_limiter_refill(&p, 10, 25, 2110);
+    ck_assert(qr_upload_limiter_may_send(&p));
 }
 END_TEST
 
