--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -16,7 +16,7 @@
 #include "net/qr_server.h"
 #include "net/qr_ticks.h"
 #include "net/qr_whole.h"
-#include "qr_pace.h"
+#include "qr_upload_limiter.h"
 #include "qr_progress.h"
 #include "fleet/qr_slots.h"
 #include "qr_sources.h"
--- a/src/sidecar/qr_pace.c
+++ b/src/sidecar/qr_upload_limiter.c
@@ -1,7 +1,7 @@
 /*
  * Limits how fast pieces are sent over a machine's link.
  */
-#include "qr_pace.h"
+#include "qr_upload_limiter.h"
 
 void qr_upload_limiter_refill(QRUploadLimiter *l, double rate,
                               unsigned saved_ms, uint64_t now_ms)
--- a/src/sidecar/qr_pace.h
+++ b/src/sidecar/qr_upload_limiter.h
@@ -2,8 +2,8 @@
  * Limits how fast pieces are sent over a machine's link: a token bucket that
  * may go into debt by one piece. By default, unused time is not saved up.
  */
-#ifndef QR_PACE_H
-#define QR_PACE_H
+#ifndef QR_UPLOAD_LIMITER_H
+#define QR_UPLOAD_LIMITER_H
 
 #include "base/qr_base.h"
 
--- a/tests/unit_fleet.c
+++ b/tests/unit_fleet.c
@@ -14,7 +14,7 @@
 #include "net/qr_ticks.h"
 #include "net/qr_traffic.h"
 #include "net/qr_message.h"
-#include "sidecar/qr_pace.h"
+#include "sidecar/qr_upload_limiter.h"
 #include "sidecar/qr_progress.h"
 
 #include <check.h>
