--- a/src/sidecar/qr_pieces.c
+++ b/src/sidecar/qr_pieces.c
@@ -1,6 +1,6 @@
 /*
- * Pieces of a version, and its manifest: from peers and from the origin. The
- * manifest is handled as one more piece, whose index is QR_MANIFEST_INDEX.
+ * Fetches the pieces of a version and its manifest from peers and from the
+ * origin. The manifest is handled as a piece with index QR_MANIFEST_INDEX.
  */
 #include "qr_sidecar.h"
 
@@ -8,23 +8,28 @@
 
 #define CONNECT_MS 700
 #define ORIGIN_TIMEOUT_MS 2500
-#define ORIGIN_AT_ONCE 1        /* its connections are few */
-#define ORIGIN_AGAIN_MS 150     /* after a failure */
-#define ORIGIN_REST_MS 300      /* ... that rest are closed: others need them */
-#define STALL_MS 900            /* no piece from anybody: ask others */
-#define ASKED_MOST_MS 4000      /* a peer is given so long in any case */
-#define UNHEARD_MOST_MS 900     /* ... that does not answer at all */
-#define PENDING_MOST_MS 1500    /* ... that said that it will have it */
-#define ROOT_WAIT_MOST_MS 5000  /* ... while others come: a root */
-#define RELAY_WAIT_MOST_MS 9000 /* ... a relay, which waits for a root */
-#define BY_ROLE_MS 1500         /* for views of members to become alike */
-#define REFRESH_MS 500   /* between two words to those who wait for a piece */
-#define MANIFEST_SHARE 3 /* of these times, for the small manifest */
-#define DIAL_MOST_MS 300
-#define WINDOW_LEAST 1
-#define WINDOW_MOST 8
-#define WINDOW_FEW 2
-#define SLOW_LINK_MS 1500 /* since a slow piece, or one on its way then */
+#define ORIGIN_REQUESTS_MAX 1 /* the origin accepts few connections */
+#define ORIGIN_RETRY_MS 150   /* delay after a failed request */
+/* Idle connections to the origin are closed: other sidecars need them. */
+#define ORIGIN_IDLE_MS 300
+#define STALL_MS 900              /* no piece from any source: ask another */
+#define PEER_TIMEOUT_MS 4000      /* for a peer to deliver a piece */
+#define PEER_REPLY_TIMEOUT_MS 900 /* for a peer to send any reply at all */
+#define PENDING_TIMEOUT_MS 1500   /* since a peer last reported PENDING */
+/* While other pieces arrive, a pending piece is waited for no longer. */
+#define ROOT_TIMEOUT_MS 5000
+#define RELAY_TIMEOUT_MS 9000       /* longer: a relay waits for a root */
+#define MEMBER_VIEWS_SETTLE_MS 1500 /* until sidecars see the same members */
+#define PENDING_NOTICE_MS 500 /* between PENDING messages to a waiting peer */
+/* The manifest is small: its peer timeouts are divided by this number. */
+#define MANIFEST_TIMEOUT_DIVISOR 3
+#define DIAL_TIMEOUT_MS 300
+#define WINDOW_MIN 1
+#define WINDOW_MAX 8
+#define WINDOW_SMALL 2
+/* The link counts as slow for so long after a slow piece, and after any piece
+   that was incoming while the link was slow. */
+#define SLOW_LINK_MS 1500
 #define PIECE_FAST_MS 130 /* from its first byte to its last */
 #define PIECE_SLOW_MS 260
 
@@ -36,10 +41,10 @@
     return origin ? origin->origin : NULL;
 }
 
-void qr_piece_came(QRTarget *t, uint32_t index)
+void qr_piece_notify_waiters(QRTarget *t, uint32_t index)
 {
     QRSidecar *s = t->sidecar;
-    g_autoptr(GArray) out = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
+    g_autoptr(GArray) removed = g_array_new(FALSE, FALSE, sizeof(QRWaiter));
 
     for (unsigned i = s->waiters->len; i > 0; i--) {
         QRWaiter w = g_array_index(s->waiters, QRWaiter, i - 1);
@@ -47,26 +52,26 @@
         if (w.target != t || w.index != index)
             continue;
         g_array_remove_index_fast(s->waiters, i - 1);
-        g_array_append_val(out, w);
+        g_array_append_val(removed, w);
     }
-    qr_upload_tell_all(out, QR__FLEET__PIECE__STATE__READY);
+    qr_upload_send_state_all(removed, QR__FLEET__PIECE__STATE__READY);
 }
 
-static void target_whole(QRTarget *t)
+static void report_target_complete(QRTarget *t)
 {
     QRSidecar *s = t->sidecar;
 
     qr_logf(QR_LEVEL_INFO, "weights",
-            "whole version=%" G_GUINT64_FORMAT " ms=%" G_GUINT64_FORMAT
-            " origin_bytes=%" G_GUINT64_FORMAT
+            "all pieces received version=%" G_GUINT64_FORMAT
+            " ms=%" G_GUINT64_FORMAT " origin_bytes=%" G_GUINT64_FORMAT
             " peer_pieces=%" G_GUINT64_FORMAT,
             t->version, t->named_ms ? t->progress.last_ms - t->named_ms : 0,
             s->origin_bytes, s->peer_pieces);
     qr_sidecar_send_state(s, true);
 }
 
-/* Whether the bytes are what the version has there; a manifest is read. */
-static bool piece_is_right(QRTarget *t, uint32_t index, const void *data,
+/* Whether the bytes match the version's digest. A manifest is parsed. */
+static bool is_piece_valid(QRTarget *t, uint32_t index, const void *data,
                            size_t len)
 {
     char digest[QR_SHA_HEX];
@@ -77,15 +82,18 @@
     return strcmp(digest, t->manifest->digests->pdata[index]) == 0;
 }
 
-/* A piece came, from wherever: checked, kept, told to who waits for it. */
-static bool piece_take(QRTarget *t, uint32_t index, const void *data,
-                       size_t len, const char *from)
+/*
+ * Checks and stores a received piece and notifies the peers that wait for it.
+ * Returns false if the bytes are not the piece.
+ */
+static bool accept_piece(QRTarget *t, uint32_t index, const void *data,
+                         size_t len, const char *from)
 {
     QRPiece *p = qr_piece(t, index);
 
     if (p->data)
         return true;
-    if (!piece_is_right(t, index, data, len)) {
+    if (!is_piece_valid(t, index, data, len)) {
         qr_logf(
             QR_LEVEL_WARN, "weights",
             "bad piece index=%d from=%s bytes=%zu version=%" G_GUINT64_FORMAT,
@@ -94,38 +102,41 @@
     }
     p->data = g_bytes_new(data, len);
     p->asked = false;
-    qr_progress_note(&t->progress, qr_sidecar_now(t->sidecar));
+    qr_progress_note_piece(&t->progress, qr_sidecar_now(t->sidecar));
     t->held_pieces += index != QR_MANIFEST_INDEX;
-    qr_piece_came(t, index);
+    qr_piece_notify_waiters(t, index);
     if (qr_target_is_complete(t))
-        target_whole(t);
+        report_target_complete(t);
     return true;
 }
 
-static void origin_done(void *owner, unsigned index, const QRWholeAnswer *a)
+static void handle_origin_answer(void *owner, unsigned index,
+                                 const QRWholeAnswer *a)
 {
     QRTarget *t = owner;
     QRPiece *p = qr_piece(t, index);
-    uint64_t rest =
+    uint64_t retry_after_ms =
         qr_platform_retry_delay_ms(t->sidecar->platform, a->status, a->headers);
 
     p->fetch = NULL;
     t->sidecar->origin_bytes += a->len;
     t->sidecar->origin_used_ms = qr_sidecar_now(t->sidecar);
-    /* the next is asked for by the next tick: this connection can't take it
-       before its last bytes were looked at */
-    if (a->status == 200 && piece_take(t, index, a->data, a->len, "origin"))
+    /* the next tick requests the next piece: this connection cannot carry
+       another request until the last bytes of this answer are processed */
+    if (a->status == 200 && accept_piece(t, index, a->data, a->len, "origin"))
         return;
     qr_logf(QR_LEVEL_WARN, "weights",
             "origin failed index=%d status=%u why=%s version=%" G_GUINT64_FORMAT
             " rest_ms=%" G_GUINT64_FORMAT,
-            (int)index, a->status, a->why ? a->why : "-", t->version, rest);
+            (int)index, a->status, a->why ? a->why : "-", t->version,
+            retry_after_ms);
     p->asked = false;
     p->asked_ms = qr_sidecar_now(t->sidecar);
-    t->sidecar->origin_retry_ms = p->asked_ms + MAX(ORIGIN_AGAIN_MS, rest);
+    t->sidecar->origin_retry_ms =
+        p->asked_ms + MAX(ORIGIN_RETRY_MS, retry_after_ms);
 }
 
-unsigned qr_pieces_from_origin(const QRSidecar *s)
+unsigned qr_pieces_count_origin_requests(const QRSidecar *s)
 {
     unsigned n = 0;
 
@@ -139,24 +150,24 @@
     return n;
 }
 
-void qr_pieces_rest(QRSidecar *s, uint64_t now_ms)
+void qr_pieces_close_idle_origin(QRSidecar *s, uint64_t now_ms)
 {
-    if (s->origin_used_ms == 0 || now_ms < s->origin_used_ms + ORIGIN_REST_MS ||
-        qr_pieces_from_origin(s) > 0)
+    if (s->origin_used_ms == 0 || now_ms < s->origin_used_ms + ORIGIN_IDLE_MS ||
+        qr_pieces_count_origin_requests(s) > 0)
         return;
     s->origin_used_ms = 0;
     if (origin_address(s))
         qr_client_forget(s->origin_client, origin_address(s));
 }
 
-static void piece_from_origin(QRTarget *t, uint32_t index, uint64_t now)
+static void request_from_origin(QRTarget *t, uint32_t index, uint64_t now)
 {
     QRSidecar *s = t->sidecar;
     g_autofree char *path = NULL;
     QRWholeRequest r = {0};
 
     if (!origin_address(s) || now < s->origin_retry_ms ||
-        qr_pieces_from_origin(s) >= ORIGIN_AT_ONCE)
+        qr_pieces_count_origin_requests(s) >= ORIGIN_REQUESTS_MAX)
         return;
     path = index == QR_MANIFEST_INDEX
                ? s->platform->manifest_path(s->model, t->version)
@@ -167,11 +178,11 @@
     r.connect_ms = CONNECT_MS;
     r.timeout_ms = ORIGIN_TIMEOUT_MS;
     qr_piece(t, index)->fetch =
-        qr_whole_send(s->origin_client, &r, origin_done, t, index);
+        qr_whole_send(s->origin_client, &r, handle_origin_answer, t, index);
 }
 
-/* The source that was asked, or dialled, gave nothing: the next one. */
-static void piece_give_up(QRPiece *p)
+/* Moves on to the next source: the one asked or dialled did not deliver. */
+static void advance_source(QRPiece *p)
 {
     p->asked = p->pending = false;
     p->dial_ms = 0;
@@ -188,8 +199,8 @@
     [QR_PIECE_ROLE_ROOT] = QR__FLEET__WANT__ROLE__ROOT,
 };
 
-static void piece_ask(QRTarget *t, uint32_t index, const QRPieceSource *source,
-                      uint64_t now)
+static void request_from_peer(QRTarget *t, uint32_t index,
+                              const QRPieceSource *source, uint64_t now)
 {
     QRSidecar *s = t->sidecar;
     QRPiece *p = qr_piece(t, index);
@@ -198,11 +209,11 @@
     Qr__Fleet__Want want = QR__FLEET__WANT__INIT;
 
     p->from_root = source->role == QR_PIECE_ROLE_ROOT;
-    if (!peer) { /* being dialled; the next tick sees it */
+    if (!peer) { /* still being dialled; the next tick checks again */
         if (p->dial_ms == 0)
             p->dial_ms = now;
-        else if (now > p->dial_ms + DIAL_MOST_MS)
-            piece_give_up(p);
+        else if (now > p->dial_ms + DIAL_TIMEOUT_MS)
+            advance_source(p);
         return;
     }
     p->dial_ms = 0;
@@ -224,8 +235,8 @@
     p->source = g_strdup(source->from->name);
 }
 
-/* Pieces on their way to us from peers: asked for where they are, or may be. */
-static unsigned on_their_way(const QRSidecar *s)
+/* Pieces requested from peers that have not said that the piece is pending. */
+static unsigned count_incoming(const QRSidecar *s)
 {
     unsigned n = 0;
 
@@ -242,20 +253,21 @@
 }
 
 /*
- * A piece came in 'ms'. The window grows while pieces come fast, and shrinks
- * when they fill the link: calls to the engine wait behind them.
+ * Adapts the window of incoming pieces to one that took 'ms' to receive. The
+ * window grows while pieces arrive fast. It shrinks when pieces fill the link,
+ * because calls to the engine wait behind them.
  */
-static void window_learn(QRSidecar *s, uint64_t ms)
+static void adapt_window(QRSidecar *s, uint64_t ms)
 {
     uint64_t now = qr_sidecar_now(s);
 
-    /* few were on their way: it is the link itself that is slow */
-    if (ms > PIECE_SLOW_MS && s->piece_window <= WINDOW_FEW)
+    /* with few pieces incoming, the link itself is slow */
+    if (ms > PIECE_SLOW_MS && s->piece_window <= WINDOW_SMALL)
         qr_link_note_slow(s, now);
     if (ms > PIECE_SLOW_MS)
-        s->piece_window = MAX(s->piece_window / 2, WINDOW_LEAST);
+        s->piece_window = MAX(s->piece_window / 2, WINDOW_MIN);
     if (ms < PIECE_FAST_MS) {
-        s->piece_window = MIN(s->piece_window + 1, WINDOW_MOST);
+        s->piece_window = MIN(s->piece_window + 1, WINDOW_MAX);
         s->link_slow_until_ms = MIN(s->link_slow_until_ms, now);
     }
 }
@@ -269,41 +281,41 @@
 {
     if (now_ms >= s->link_slow_until_ms)
         return false;
-    /* what is on its way will tell: until then it stays slow */
-    if (s->targets && on_their_way(s) > 0)
-        s->link_slow_until_ms =
-            MAX(s->link_slow_until_ms, now_ms + SLOW_LINK_MS);
+    /* incoming pieces will show the speed; until then the link stays slow */
+    if (s->targets && count_incoming(s) > 0)
+        s->link_slow_until_ms = MAX(s->link_slow_until_ms, now_ms + SLOW_LINK_MS);
     return true;
 }
 
-/* Time to look for another source. */
+/* Whether it is time to try another source. */
 static bool is_overdue(const QRTarget *t, uint32_t index, uint64_t now)
 {
     const QRPiece *p = qr_piece(t, index);
-    uint64_t wait = p->from_root ? ROOT_WAIT_MOST_MS : RELAY_WAIT_MOST_MS;
-    uint64_t share = index == QR_MANIFEST_INDEX ? MANIFEST_SHARE : 1;
+    uint64_t pending_ms = p->from_root ? ROOT_TIMEOUT_MS : RELAY_TIMEOUT_MS;
+    uint64_t divisor =
+        index == QR_MANIFEST_INDEX ? MANIFEST_TIMEOUT_DIVISOR : 1;
 
     if (p->pending)
-        return now > p->asked_ms + PENDING_MOST_MS ||
-               qr_progress_passed_by(&t->progress, p->first_asked_ms, wait,
-                                     now);
+        return now > p->asked_ms + PENDING_TIMEOUT_MS ||
+               qr_progress_is_source_overdue(&t->progress, p->first_asked_ms,
+                                             pending_ms, now);
     if (p->asked && !p->answered)
-        return now > p->asked_ms + UNHEARD_MOST_MS / share;
-    if (now > p->asked_ms + ASKED_MOST_MS / share)
+        return now > p->asked_ms + PEER_REPLY_TIMEOUT_MS / divisor;
+    if (now > p->asked_ms + PEER_TIMEOUT_MS / divisor)
         return true;
     return now > p->asked_ms + STALL_MS && now > t->progress.last_ms + STALL_MS;
 }
 
-void qr_pieces_refresh(QRSidecar *s, uint64_t now_ms)
+void qr_pieces_notify_pending(QRSidecar *s, uint64_t now_ms)
 {
     if (now_ms < s->pending_refresh_ms)
         return;
-    s->pending_refresh_ms = now_ms + REFRESH_MS;
+    s->pending_refresh_ms = now_ms + PENDING_NOTICE_MS;
     for (unsigned i = 0; i < s->waiters->len; i++) {
         const QRWaiter *w = &g_array_index(s->waiters, QRWaiter, i);
 
         if (w->target)
-            qr_upload_tell(w, QR__FLEET__PIECE__STATE__PENDING);
+            qr_upload_send_state(w, QR__FLEET__PIECE__STATE__PENDING);
     }
 }
 
@@ -313,20 +325,23 @@
 }
 
 /*
- * Who sees other members than the askers do draws the piece by its own order
- * first: most of them see the same a moment later. If that waits in vain the
- * askers may be the ones that are waited for.
+ * The role by which the source of a piece is chosen. This sidecar may see other
+ * members than the peers that ask for the piece do. At first it uses its own
+ * order, because most sidecars see the same members a moment later. If the
+ * piece stays pending, its source may be one of the asking peers, which wait
+ * for this sidecar; the role that those peers assigned is then used.
  */
-static QRPieceRole role_of(QRPiece *p, uint64_t now_ms)
+static QRPieceRole effective_role(QRPiece *p, uint64_t now_ms)
 {
-    if (p->pending && now_ms > p->first_asked_ms + BY_ROLE_MS)
+    if (p->pending && now_ms > p->first_asked_ms + MEMBER_VIEWS_SETTLE_MS)
         p->uses_role = true;
     return p->uses_role ? p->role : QR_PIECE_ROLE_NONE;
 }
 
 /*
- * A source that has no piece yet is waited for only while it is the one to
- * ask: sidecars that saw different members may wait for one another.
+ * A source that does not have the piece yet is waited for only while it is
+ * still the preferred source, because sidecars that see different members
+ * could otherwise wait for one another.
  */
 void qr_piece_tick(QRTarget *t, uint32_t index, const QRSourcePlan *plan,
                    uint64_t now_ms)
@@ -341,22 +356,22 @@
         p->asked_ms = now_ms;
     if (is_overdue(t, index, now_ms)) {
         p->asked_ms = now_ms;
-        piece_give_up(p);
+        advance_source(p);
     }
     if (p->asked && !p->pending)
         return;
-    source = qr_source_choose(plan, index, p->attempts, role_of(p, now_ms));
+    source = qr_source_choose(plan, index, p->attempts, effective_role(p, now_ms));
     if (p->asked && is_source(p, &source))
         return;
     p->asked = p->pending = false;
     if (!source.from)
-        piece_from_origin(t, index, now_ms);
+        request_from_origin(t, index, now_ms);
     else if (index == QR_MANIFEST_INDEX || source.role == QR_PIECE_ROLE_ROOT ||
-             on_their_way(s) < (unsigned)s->piece_window)
-        piece_ask(t, index, &source, now_ms);
+             count_incoming(s) < (unsigned)s->piece_window)
+        request_from_peer(t, index, &source, now_ms);
 }
 
-static void tell_taken(QRPeerConn *peer, const Qr__Fleet__Piece *taken)
+static void acknowledge_piece(QRPeerConn *peer, const Qr__Fleet__Piece *taken)
 {
     QRFrame frame = QR__FLEET__FRAME__INIT;
     Qr__Fleet__Piece piece = QR__FLEET__PIECE__INIT;
@@ -370,28 +385,28 @@
     qr_peer_send(peer, &frame);
 }
 
-void qr_weights_piece(QRSidecar *s, QRPeerConn *peer,
-                      const Qr__Fleet__Piece *piece)
+void qr_weights_handle_piece(QRSidecar *s, QRPeerConn *peer,
+                             const Qr__Fleet__Piece *piece)
 {
     const QRFleetMember *from = qr_peer_data(peer);
-    QRTarget *t = qr_target_of(s, piece->model, piece->version);
+    QRTarget *t = qr_target_find(s, piece->model, piece->version);
     QRPiece *p;
 
     if (piece->state == QR__FLEET__PIECE__STATE__TAKEN) {
-        qr_upload_taken(s, peer);
+        qr_upload_note_received(s, peer);
         return;
     }
     if (piece->state == QR__FLEET__PIECE__STATE__DATA &&
         piece->index != QR_MANIFEST_INDEX)
-        tell_taken(peer, piece);
+        acknowledge_piece(peer, piece);
     if (!t || !qr_target_has_index(t, piece->index))
         return;
     p = qr_piece(t, piece->index);
     if (piece->state == QR__FLEET__PIECE__STATE__DATA) {
         if (piece->index != QR_MANIFEST_INDEX)
-            window_learn(s, qr_peer_frame_ms(peer));
-        if (piece_take(t, piece->index, piece->data.data, piece->data.len,
-                       from ? from->name : "peer")) {
+            adapt_window(s, qr_peer_frame_ms(peer));
+        if (accept_piece(t, piece->index, piece->data.data, piece->data.len,
+                         from ? from->name : "peer")) {
             s->peer_pieces++;
             qr_weights_tick(s, qr_sidecar_now(s));
             return;
@@ -408,20 +423,21 @@
         return;
     p->asked = false;
     if (piece->state != QR__FLEET__PIECE__STATE__READY)
-        piece_give_up(p);
+        advance_source(p);
     qr_weights_tick(s, qr_sidecar_now(s));
 }
 
 static void piece_peer_closed(QRPiece *p, const QRPeerConn *peer)
 {
     if (p->asked && p->asked_conn == peer)
-        piece_give_up(p);
+        advance_source(p);
 }
 
-/* Of a peer's connections only the one that was asked on matters. */
+/* A peer may have several connections. A request fails only if the connection
+   that carried it closes. */
 void qr_weights_peer_closed(QRSidecar *s, const QRPeerConn *peer)
 {
-    qr_upload_drop(s, NULL, peer);
+    qr_upload_drop_waiters(s, NULL, peer);
     for (unsigned k = 0; s->targets && k < s->targets->len; k++) {
         QRTarget *t = s->targets->pdata[k];
 
--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -17,7 +17,7 @@
 #include "net/qr_server.h"
 #include "net/qr_ticks.h"
 #include "net/qr_whole.h"
-#include "qr_pace.h"
+#include "qr_upload_limiter.h"
 #include "qr_progress.h"
 #include "fleet/qr_slots.h"
 #include "qr_sources.h"
@@ -112,7 +112,7 @@
     GArray *waiters;          /* QRWaiter: for pieces not held yet */
     GQueue uploads; /* QRWaiter *: pieces to send, by upload_priority */
     GArray *unconfirmed_uploads; /* sent, not yet confirmed by the peer */
-    QRPace upload_pace;
+    QRUploadLimiter upload_pace;
     uint64_t link_slow_until_ms; /* see qr_link_is_slow() */
     uint64_t pending_refresh_ms; /* next PENDING reply to the waiters */
     uint64_t origin_retry_ms;    /* no request to the origin before this time */
@@ -147,10 +147,10 @@
 void qr_weights_update_targets(QRSidecar *s);
 void qr_weights_tick(QRSidecar *s, uint64_t now_ms);
 /* Sends pieces that peers asked for, within the link's rate limit. */
-void qr_weights_upload(QRSidecar *s, uint64_t now_ms);
-void qr_weights_want(QRSidecar *s, QRPeerConn *peer,
+void qr_upload_send_queued(QRSidecar *s, uint64_t now_ms);
+void qr_weights_handle_want(QRSidecar *s, QRPeerConn *peer,
                      const Qr__Fleet__Want *want);
-void qr_weights_piece(QRSidecar *s, QRPeerConn *peer,
+void qr_weights_handle_piece(QRSidecar *s, QRPeerConn *peer,
                       const Qr__Fleet__Piece *piece);
 void qr_weights_peer_closed(QRSidecar *s, const QRPeerConn *peer);
 void qr_weights_clear(QRSidecar *s);
@@ -165,13 +165,13 @@
 bool qr_link_is_slow(QRSidecar *s, uint64_t now_ms);
 void qr_link_note_slow(QRSidecar *s, uint64_t now_ms);
 /* Number of open requests to the origin. */
-unsigned qr_pieces_from_origin(const QRSidecar *s);
+unsigned qr_pieces_count_origin_requests(const QRSidecar *s);
 /* Tells peers that wait for a piece that it has arrived. */
-void qr_piece_came(QRTarget *t, uint32_t index);
+void qr_piece_notify_waiters(QRTarget *t, uint32_t index);
 /* Repeats to waiting peers that their pieces are still pending. */
-void qr_pieces_refresh(QRSidecar *s, uint64_t now_ms);
+void qr_pieces_notify_pending(QRSidecar *s, uint64_t now_ms);
 /* Closes connections to the origin that have been idle for a while. */
-void qr_pieces_rest(QRSidecar *s, uint64_t now_ms);
+void qr_pieces_close_idle_origin(QRSidecar *s, uint64_t now_ms);
 
 static inline bool qr_target_has_index(const QRTarget *t, uint32_t index)
 {
@@ -189,32 +189,32 @@
 }
 
 /* Returns the target of the version, or NULL. */
-QRTarget *qr_target_of(const QRSidecar *s, const char *model, uint64_t version);
+QRTarget *qr_target_find(const QRSidecar *s, const char *model, uint64_t version);
 /* Assigns a new target to peers that already wait for its version. */
-void qr_upload_target_came(QRSidecar *s, QRTarget *t);
+void qr_upload_bind_target(QRSidecar *s, QRTarget *t);
 /* Sends a peer the state of the piece that it asked for. */
-void qr_upload_tell(const QRWaiter *w, Qr__Fleet__Piece__State state);
+void qr_upload_send_state(const QRWaiter *w, Qr__Fleet__Piece__State state);
 /*
  * Sends 'state' to waiters that were removed from the lists ('out' holds
  * QRWaiter). Sending may close a peer, which removes that peer's waiters from
  * the lists; for that reason no message is sent while a list is iterated.
  */
-void qr_upload_tell_all(const GArray *out, Qr__Fleet__Piece__State state);
+void qr_upload_send_state_all(const GArray *out, Qr__Fleet__Piece__State state);
 /* Removes the waiters of 'target' or 'peer'; those of a target are notified. */
-void qr_upload_drop(QRSidecar *s, const QRTarget *target,
+void qr_upload_drop_waiters(QRSidecar *s, const QRTarget *target,
                     const QRPeerConn *peer);
 /* Notes that a piece sent to 'peer' has arrived. */
-void qr_upload_taken(QRSidecar *s, const QRPeerConn *peer);
-GArray *qr_upload_sent_new(void);
+void qr_upload_note_received(QRSidecar *s, const QRPeerConn *peer);
+GArray *qr_upload_in_flight_new(void);
 /* Redirects peers that wait for pieces missing from the engine's stage. */
-void qr_upload_missing(QRTarget *t);
+void qr_upload_reject_missing(QRTarget *t);
 /* Redirects all peers that wait for pieces, because this link is slow. */
-void qr_upload_decline(QRSidecar *s);
+void qr_upload_reject_queued(QRSidecar *s);
 
 /* Staging of pieces at the engine, and the order to start a version. */
 void qr_stage_tick(QRSidecar *s, uint64_t now_ms);
 /* Resets the staging state after a restart of the engine. */
-void qr_stage_forget(QRSidecar *s);
+void qr_stage_reset(QRSidecar *s);
 
 /* Connections to gateways and other sidecars. */
 extern const QRPeerHandlers qr_sidecar_peer_handlers;
--- a/src/sidecar/qr_sidecar_peers.c
+++ b/src/sidecar/qr_sidecar_peers.c
@@ -97,7 +97,7 @@
                 slow ? "slow" : "normal", s->piece_window);
         s->reported_slow_link = slow;
         if (slow)
-            qr_upload_decline(s);
+            qr_upload_reject_queued(s);
         changed = true;
     }
     if (!s->report_ms ||
@@ -226,10 +226,10 @@
                                   qr_sidecar_now(s));
         break;
     case QR__FLEET__FRAME__BODY_WANT:
-        qr_weights_want(s, peer, frame->want);
+        qr_weights_handle_want(s, peer, frame->want);
         break;
     case QR__FLEET__FRAME__BODY_PIECE:
-        qr_weights_piece(s, peer, frame->piece);
+        qr_weights_handle_piece(s, peer, frame->piece);
         break;
     case QR__FLEET__FRAME__BODY_SLOT_REQUEST:
         peer_slot_request(s, peer, member->name, frame->slot_request);
--- a/src/sidecar/qr_stage.c
+++ b/src/sidecar/qr_stage.c
@@ -1,6 +1,6 @@
 /*
- * Staging at the engine: pieces put, read back and checked; then the order to
- * start them.
+ * Stages weights at the engine: puts pieces, reads them back, checks them, and
+ * then orders the engine to start the version.
  */
 #include "qr_sidecar.h"
 
@@ -8,63 +8,74 @@
 
 #define CONNECT_MS 500
 #define STAGE_TIMEOUT_MS 2000
-#define STAGE_AT_ONCE 8 /* on the machine itself; 64 pieces in a few ticks */
+/* The engine is on the same machine: 64 pieces are staged in a few ticks. */
+#define STAGE_REQUESTS_MAX 8
 #define ORDER_TIMEOUT_MS 1500
-#define ORDER_AGAIN_MS 300
-#define VERIFY_FRESH_MS 2000  /* a check is good for so long */
-#define ANNOUNCED_MS 80       /* for the word to reach gateways, and calls us */
-#define SETTLE_MOST_MS 1200   /* calls there are waited for no longer */
-#define RUNNING_FEW 4         /* streams that may be cut */
-#define SWITCH_LEAD_MS 2200   /* by then the first have all pieces */
-#define OUT_OF_USE_MS 1000    /* before a bound, gateways ask for the new one */
-#define SWITCH_MARGIN_MS 1200 /* before the bound, the last one is ordered */
-
-/* What was read back is right: it lies at the engine, and is here too. */
-static void piece_read_back(QRTarget *t, unsigned index, const QRWholeAnswer *a)
+#define ORDER_RETRY_MS 300
+#define VERIFY_VALID_MS 2000 /* a read-back check is valid for so long */
+/* For the announcement to reach gateways, and for calls that they have sent
+   to reach the engine. */
+#define ANNOUNCE_DELAY_MS 80
+#define DRAIN_TIMEOUT_MS 1200 /* for calls at the engine to end */
+#define CUT_STREAMS_MAX 4     /* running streams that a start may cut */
+#define SWITCH_LEAD_MS 2200   /* by then the first sidecars have all pieces */
+/* So long before the bound, gateways require the new version. */
+#define GATEWAY_MARGIN_MS 1000
+/* So long before the bound, the last engine is ordered to start. */
+#define LAST_ORDER_MARGIN_MS 1200
+
+/*
+ * Handles the answer to reading a piece back. A piece that matches its digest
+ * is staged at the engine, and its bytes are also kept here.
+ */
+static void check_read_back(QRTarget *t, unsigned index, const QRWholeAnswer *a)
 {
     QRPiece *p = qr_piece(t, index);
     char digest[QR_SHA_HEX] = "";
-    bool right = false;
+    bool valid = false;
 
     if (a->status == 200) {
         qr_sha256_hex(a->data, a->len, digest);
-        right = strcmp(digest, t->manifest->digests->pdata[index]) == 0;
+        valid = strcmp(digest, t->manifest->digests->pdata[index]) == 0;
     }
-    if (!right && t->scanned && p->staged)
-        qr_logf(QR_LEVEL_WARN, "stage", "piece turned bad index=%u status=%u",
-                index, a->status);
-    p->staged = p->verified = right;
+    if (!valid && t->scanned && p->staged)
+        qr_logf(QR_LEVEL_WARN, "stage",
+                "staged piece is missing or damaged index=%u status=%u", index,
+                a->status);
+    p->staged = p->verified = valid;
     p->verified_ms = qr_sidecar_now(t->sidecar);
-    if (right && !p->data) {
+    if (valid && !p->data) {
         p->data = g_bytes_new(a->data, a->len);
         t->held_pieces++;
-        qr_piece_came(t, index);
+        qr_piece_notify_waiters(t, index);
     }
 }
 
-static void stage_done(void *owner, unsigned index, const QRWholeAnswer *a)
+static void handle_stage_answer(void *owner, unsigned index,
+                                const QRWholeAnswer *a)
 {
     QRTarget *t = owner;
     QRPiece *p = qr_piece(t, index);
 
     p->stage = NULL;
-    if (a->status == 0) { /* no answer: what lies there is not known */
+    if (a->status == 0) { /* no answer: what the engine holds is unknown */
         p->verified = false;
         p->staged = p->stage_is_read && p->staged;
         return;
     }
     if (p->stage_is_read) {
-        piece_read_back(t, index, a);
+        check_read_back(t, index, a);
         return;
     }
     p->staged = a->status / 100 == 2;
     p->verified = false;
     if (!p->staged)
-        qr_logf(QR_LEVEL_WARN, "stage", "put refused index=%u status=%u", index,
+        qr_logf(QR_LEVEL_WARN, "stage",
+                "engine refused to stage piece index=%u status=%u", index,
                 a->status);
 }
 
-static void piece_stage(QRTarget *t, unsigned index, bool put)
+static void send_stage_request(QRTarget *t, unsigned index, bool put)
 {
     QRSidecar *s = t->sidecar;
     QRPiece *p = qr_piece(t, index);
@@ -80,12 +91,12 @@
     r.connect_ms = CONNECT_MS;
     r.timeout_ms = STAGE_TIMEOUT_MS;
     p->stage_is_read = !put;
-    p->stage = qr_whole_send(s->engine_client, &r, stage_done, t, index);
+    p->stage = qr_whole_send(s->engine_client, &r, handle_stage_answer, t, index);
     if (put)
         s->staged_version = t->version;
 }
 
-/* Marks all pieces as lying there or not; reading back tells the truth. */
+/* Marks all pieces as staged or not. Reading back verifies the mark. */
 static void mark_staged(QRTarget *t, bool staged)
 {
     for (unsigned i = 0; i < t->pieces->len; i++) {
@@ -94,7 +105,7 @@
     }
 }
 
-void qr_stage_forget(QRSidecar *s)
+void qr_stage_reset(QRSidecar *s)
 {
     s->staged_version = 0;
     for (unsigned i = 0; s->targets && i < s->targets->len; i++) {
@@ -105,34 +116,35 @@
 }
 
 /*
- * Reads back, and puts if that is allowed, a few pieces at once. True: all lie
- * there, checked.
+ * Reads back pieces, and puts pieces if 'may_put', a few at a time. Returns
+ * true if all pieces are staged and verified.
  */
 static bool stage_pieces(QRTarget *t, bool may_put)
 {
-    unsigned open = 0, right = 0;
+    unsigned in_flight = 0, verified = 0;
 
     for (unsigned i = 0; i < t->pieces->len; i++) {
-        open += qr_piece(t, i)->stage != NULL;
-        right += qr_piece(t, i)->staged && qr_piece(t, i)->verified;
+        in_flight += qr_piece(t, i)->stage != NULL;
+        verified += qr_piece(t, i)->staged && qr_piece(t, i)->verified;
     }
-    for (unsigned i = 0; i < t->pieces->len && open < STAGE_AT_ONCE; i++) {
+    for (unsigned i = 0; i < t->pieces->len && in_flight < STAGE_REQUESTS_MAX;
+         i++) {
         QRPiece *p = qr_piece(t, i);
 
         if (p->stage || p->verified)
             continue;
         if (p->staged)
-            piece_stage(t, i, false);
+            send_stage_request(t, i, false);
         else if (p->data && may_put)
-            piece_stage(t, i, true);
+            send_stage_request(t, i, true);
         else
             continue;
-        open++;
+        in_flight++;
     }
-    return right == t->pieces->len;
+    return verified == t->pieces->len;
 }
 
-static bool scan_done(const QRTarget *t)
+static bool is_scan_done(const QRTarget *t)
 {
     for (unsigned i = 0; i < t->pieces->len; i++) {
         const QRPiece *p = qr_piece(t, i);
@@ -144,10 +156,11 @@
 }
 
 /*
- * Looks once at what lies at the engine. Returns true when that is over. Where
- * we know that another version lies there, there is nothing to look at.
+ * Reads back once which pieces are staged at the engine. Returns true when the
+ * scan is complete. If another version is known to be staged there, nothing is
+ * read.
  */
-static bool scan(QRTarget *t)
+static bool scan_stage(QRTarget *t)
 {
     const QRSidecar *s = t->sidecar;
 
@@ -163,15 +176,16 @@
         mark_staged(t, true);
     }
     stage_pieces(t, false);
-    if (scan_done(t)) {
+    if (is_scan_done(t)) {
         t->scanned = true;
         t->scanning = false;
-        qr_upload_missing(t);
+        qr_upload_reject_missing(t);
     }
     return t->scanned;
 }
 
-static void order_done(void *owner, unsigned ref, const QRWholeAnswer *a)
+static void handle_order_answer(void *owner, unsigned ref,
+                                const QRWholeAnswer *a)
 {
     QRSidecar *s = owner;
 
@@ -179,7 +193,7 @@
     s->order_call = NULL;
     s->order_answered_ms = qr_sidecar_now(s);
     s->orders++;
-    s->order_next_ms = qr_sidecar_now(s) + ORDER_AGAIN_MS;
+    s->order_next_ms = qr_sidecar_now(s) + ORDER_RETRY_MS;
     s->report_next_ms = 0;
     qr_logf(QR_LEVEL_INFO, "order",
             "start version=%" G_GUINT64_FORMAT
@@ -187,48 +201,50 @@
             s->ordered_version, a->status, s->report.sequence,
             a->why ? a->why : "-");
     if (a->status == 202 || a->status == 200 || a->status == 0)
-        return; /* without an answer it may have been taken: the report tells */
+        return; /* an unanswered order may have been accepted: the next report
+                   shows whether it was */
     s->switching = false;
     qr_sidecar_send_state(s, true);
 }
 
 /*
- * Gateways are told first, and the order waits until what they had sent has
- * begun: nothing may lie queued at the engine that would begin on the old
- * version after a long stop of the machine. It waits for most of what runs,
- * too; the few long streams left are cut, and taken up at other engines.
+ * Announces the order to gateways. The order then waits until the calls that
+ * gateways had sent have begun: a call still queued at the engine could begin
+ * on the old version after a long pause of the machine. The order also waits
+ * until most running calls have ended. The few long streams that remain are
+ * cut and resumed at other engines.
  */
-static void order_announce(QRSidecar *s, uint64_t now_ms)
+static void announce_order(QRSidecar *s, uint64_t now_ms)
 {
     s->switching = true;
     s->announced_ms = now_ms;
-    s->report_next_ms = MIN(s->report_next_ms, now_ms + ANNOUNCED_MS);
+    s->report_next_ms = MIN(s->report_next_ms, now_ms + ANNOUNCE_DELAY_MS);
     qr_sidecar_send_state(s, true);
 }
 
-/* Whether gateways still send calls to the engine, for the version it has. */
+/* Whether gateways still send calls to the engine at its current version. */
 static bool is_in_use(const QRSidecar *s, uint64_t now_ms)
 {
     uint64_t bound = (uint64_t)s->set->version_ms;
     uint64_t due = qr_operator_overdue_version(
-        &s->operator, s->model, bound - MIN(bound, OUT_OF_USE_MS), now_ms);
+        &s->operator, s->model, bound - MIN(bound, GATEWAY_MARGIN_MS), now_ms);
 
     return s->report.version > 0 && s->report.version >= due;
 }
 
-static bool order_may_go(const QRSidecar *s, uint64_t now_ms)
+static bool may_send_order(const QRSidecar *s, uint64_t now_ms)
 {
-    /* nobody sends calls there any more, and none is left */
+    /* gateways send no more calls to the engine, and none is left there */
     if (!is_in_use(s, now_ms) && s->report.queued + s->report.active == 0)
         return true;
-    if (now_ms > s->announced_ms + SETTLE_MOST_MS || s->report.version == 0)
+    if (now_ms > s->announced_ms + DRAIN_TIMEOUT_MS || s->report.version == 0)
         return true;
-    return s->report_asked_ms >= s->announced_ms + ANNOUNCED_MS &&
+    return s->report_asked_ms >= s->announced_ms + ANNOUNCE_DELAY_MS &&
            !s->report_call && s->report.queued == 0 &&
-           s->report.active <= RUNNING_FEW;
+           s->report.active <= CUT_STREAMS_MAX;
 }
 
-static void order_start(QRSidecar *s, const QRTarget *t)
+static void send_start_order(QRSidecar *s, const QRTarget *t)
 {
     g_autofree char *path = s->platform->order_path();
     g_autofree char *body = s->platform->start_order(s->model, t->version,
@@ -245,10 +261,11 @@
     r.timeout_ms = ORDER_TIMEOUT_MS;
     s->announced_ms = 0;
     s->ordered_version = t->version;
-    s->order_call = qr_whole_send(s->engine_client, &r, order_done, s, 0);
+    s->order_call = qr_whole_send(s->engine_client, &r, handle_order_answer, s, 0);
 }
 
-/* An engine that is of no use as it is starts at once; the others in turn. */
+/* When the engine may start the version. An engine that gateways do not use
+   starts at once; the others start in turn. */
 static uint64_t start_due_ms(const QRTarget *t, uint64_t now_ms)
 {
     const QRSidecar *s = t->sidecar;
@@ -258,14 +275,13 @@
     if (!is_in_use(s, now_ms) || t->named_ms == 0)
         return 0;
     qr_sidecar_plan(s, t->version, &plan);
-    return qr_switch_time_ms(
-        &plan, t->named_ms + MIN(SWITCH_LEAD_MS, bound / 3),
-        t->named_ms + bound - MIN(bound, SWITCH_MARGIN_MS));
+    return qr_switch_time_ms(&plan, t->named_ms + MIN(SWITCH_LEAD_MS, bound / 3),
+                        t->named_ms + bound - MIN(bound, LAST_ORDER_MARGIN_MS));
 }
 
 /*
- * The version to be staged: the newest that is whole; until one is, the
- * oldest, which will be whole first.
+ * The version to stage: the newest of which all pieces are here. Until there is
+ * one, the oldest version, which will be complete first.
  */
 static QRTarget *stage_target(const QRSidecar *s)
 {
@@ -282,20 +298,21 @@
     return chosen;
 }
 
-/* Has pieces read back once more whose check is too old; true: none is. */
-static bool checks_fresh(QRTarget *t, uint64_t now_ms)
+/* Marks pieces whose check is too old to be read back again. Returns true if
+   there are none. */
+static bool invalidate_old_checks(QRTarget *t, uint64_t now_ms)
 {
-    bool fresh = true;
+    bool all_valid = true;
 
     for (unsigned i = 0; i < t->pieces->len; i++) {
         QRPiece *p = qr_piece(t, i);
 
-        if (now_ms <= p->verified_ms + VERIFY_FRESH_MS)
+        if (now_ms <= p->verified_ms + VERIFY_VALID_MS)
             continue;
         p->verified = false;
-        fresh = false;
+        all_valid = false;
     }
-    return fresh;
+    return all_valid;
 }
 
 static void order_tick(QRSidecar *s, QRTarget *t, uint64_t now_ms)
@@ -304,20 +321,21 @@
         now_ms < s->order_next_ms || now_ms < start_due_ms(t, now_ms))
         return;
     if (!s->announced_ms)
-        order_announce(s, now_ms);
-    /* read back once more while the engine empties */
-    if (checks_fresh(t, now_ms) && order_may_go(s, now_ms))
-        order_start(s, t);
+        announce_order(s, now_ms);
+    /* pieces are read back again while the engine drains */
+    if (invalidate_old_checks(t, now_ms) && may_send_order(s, now_ms))
+        send_start_order(s, t);
 }
 
-/* Pieces of a served version are looked at when a peer asks for them. */
+/* Scans the engine's pieces of each version that it serves, because peers may
+   ask for them. */
 static void scan_served(QRSidecar *s)
 {
     for (unsigned i = 0; i < s->targets->len; i++) {
         QRTarget *t = s->targets->pdata[i];
 
         if (t->pieces && !t->scanned && qr_sidecar_serves(s, t->version))
-            scan(t);
+            scan_stage(t);
     }
 }
 
@@ -333,9 +351,9 @@
         return;
     if (s->staged_version && s->staged_version != t->version && t->scanned &&
         t->version != s->staging_version)
-        mark_staged(t, false); /* the other version's pieces lie over ours */
+        mark_staged(t, false); /* the other version's pieces replaced these */
     s->staging_version = t->version;
-    if (!scan(t))
+    if (!scan_stage(t))
         return;
     if (stage_pieces(t, true))
         order_tick(s, t, now_ms);
--- a/src/sidecar/qr_weights.c
+++ b/src/sidecar/qr_weights.c
@@ -36,7 +36,7 @@
             "dropped version=%" G_GUINT64_FORMAT
             " held=%u serving=%" G_GUINT64_FORMAT,
             t->version, t->held_pieces, s->report.version);
-    qr_upload_drop(s, t, NULL);
+    qr_upload_drop_waiters(s, t, NULL);
     g_ptr_array_remove(s->targets, t);
 }
 
@@ -104,7 +104,7 @@
     t->named_ms = named->since_ms;
     t->progress.last_ms = qr_sidecar_now(s);
     g_ptr_array_add(s->targets, t);
-    qr_upload_target_came(s, t);
+    qr_upload_bind_target(s, t);
     if (s->piece_window <= 0)
         s->piece_window = WINDOW_INITIAL_PIECES;
     qr_logf(QR_LEVEL_INFO, "weights",
@@ -170,7 +170,7 @@
             "uploads=%u longest=%u from=%s root=%d pending=%d "
             "asked_ago_ms=%" G_GUINT64_FORMAT " relays_tried=%u roots_tried=%u",
             t->version, t->held_pieces, t->pieces->len, asked, pending,
-            t->sidecar->piece_window, qr_pieces_from_origin(t->sidecar),
+            t->sidecar->piece_window, qr_pieces_count_origin_requests(t->sidecar),
             t->sidecar->uploads.length, index,
             longest_wait ? longest_wait->source : "-",
             longest_wait && longest_wait->from_root,
@@ -236,8 +236,8 @@
     if (!s->model || !s->report_ms)
         return;
     drop_superseded(s);
-    qr_pieces_rest(s, now_ms);
-    qr_pieces_refresh(s, now_ms);
+    qr_pieces_close_idle_origin(s, now_ms);
+    qr_pieces_notify_pending(s, now_ms);
     for (unsigned i = 0; i < s->targets->len; i++)
         target_tick(s->targets->pdata[i], now_ms);
 }
--- a/tests/unit_fleet.c
+++ b/tests/unit_fleet.c
@@ -14,7 +14,7 @@
 #include "net/qr_ticks.h"
 #include "net/qr_traffic.h"
 #include "net/qr_message.h"
-#include "sidecar/qr_pace.h"
+#include "sidecar/qr_upload_limiter.h"
 #include "sidecar/qr_progress.h"
 
 #include <check.h>
@@ -801,24 +801,24 @@
 
 START_TEST(pace_saves_up_to_its_limit)
 {
-    QRPace p = {0, 1000};
+    QRUploadLimiter p = {0, 1000};
 
-    qr_pace_refill(&p, 10, 0, 2000); /* idle time saves nothing */
-    ck_assert(qr_pace_open(&p));
-    qr_pace_sent(&p, 300);
-    qr_pace_refill(&p, 10, 0, 2029);
-    ck_assert(!qr_pace_open(&p));
+    qr_upload_limiter_refill(&p, 10, 0, 2000); /* idle time saves nothing */
+    ck_assert(qr_upload_limiter_may_send(&p));
+    qr_upload_limiter_spend(&p, 300);
+    qr_upload_limiter_refill(&p, 10, 0, 2029);
+    ck_assert(!qr_upload_limiter_may_send(&p));
     /* balanced at 2030; the rest of the tick is lost ... */
-    qr_pace_refill(&p, 10, 0, 2050);
-    ck_assert(qr_pace_open(&p));
-    qr_pace_sent(&p, 300);
-    qr_pace_refill(&p, 10, 0, 2079);
-    ck_assert(!qr_pace_open(&p));
+    qr_upload_limiter_refill(&p, 10, 0, 2050);
+    ck_assert(qr_upload_limiter_may_send(&p));
+    qr_upload_limiter_spend(&p, 300);
+    qr_upload_limiter_refill(&p, 10, 0, 2079);
+    ck_assert(!qr_upload_limiter_may_send(&p));
     /* ... or saved: 20 ms of it count towards the next piece */
-    qr_pace_refill(&p, 10, 25, 2100);
-    qr_pace_sent(&p, 300);
-    qr_pace_refill(&p, 10, 25, 2110);
-    ck_assert(qr_pace_open(&p));
+    qr_upload_limiter_refill(&p, 10, 25, 2100);
+    qr_upload_limiter_spend(&p, 300);
+    qr_upload_limiter_refill(&p, 10, 25, 2110);
+    ck_assert(qr_upload_limiter_may_send(&p));
 }
 END_TEST
 
@@ -830,18 +830,18 @@
 
     /* pieces arrive from all sources but one */
     for (uint64_t now = 1100; now < 7000; now += 100)
-        qr_progress_note(&p, now);
-    ck_assert(!qr_progress_passed_by(&p, 2000, 5000, 6900));
-    ck_assert(qr_progress_passed_by(&p, 1500, 5000, 6900));
+        qr_progress_note_piece(&p, now);
+    ck_assert(!qr_progress_is_source_overdue(&p, 2000, 5000, 6900));
+    ck_assert(qr_progress_is_source_overdue(&p, 1500, 5000, 6900));
     /* no pieces arrive: all sources wait */
-    ck_assert(!qr_progress_passed_by(&p, 1500, 5000, 7900));
-    ck_assert(!qr_progress_passed_by(&p, 1500, 5000, 15000));
+    ck_assert(!qr_progress_is_source_overdue(&p, 1500, 5000, 7900));
+    ck_assert(!qr_progress_is_source_overdue(&p, 1500, 5000, 15000));
     /* pieces arrive again: time is counted from then */
-    qr_progress_note(&p, 16000);
-    ck_assert(!qr_progress_passed_by(&p, 1500, 5000, 16100));
+    qr_progress_note_piece(&p, 16000);
+    ck_assert(!qr_progress_is_source_overdue(&p, 1500, 5000, 16100));
     for (uint64_t now = 16100; now < 21200; now += 100)
-        qr_progress_note(&p, now);
-    ck_assert(qr_progress_passed_by(&p, 1500, 5000, 21200));
+        qr_progress_note_piece(&p, now);
+    ck_assert(qr_progress_is_source_overdue(&p, 1500, 5000, 21200));
 }
 END_TEST
 
