--- a/src/base/qr_base.c
+++ b/src/base/qr_base.c
@@ -1,5 +1,6 @@
 /*
- * Common ground of every module: errors, findings, handles, hashing.
+ * Shared by all modules: error codes, findings, handles, hashing, clocks and
+ * checks of names and addresses.
  */
 #include "qr_base.h"
 
@@ -26,7 +27,7 @@
     g_clear_pointer(&f->lines, g_ptr_array_unref);
 }
 
-void qr_findings_add(QRFindings *f, const char *place, const char *fmt, ...)
+void qr_findings_add(QRFindings *f, const char *location, const char *fmt, ...)
 {
     g_autofree char *text = NULL;
     va_list ap;
@@ -35,7 +36,7 @@
     text = g_strdup_vprintf(fmt, ap);
     va_end(ap);
     g_ptr_array_add(f->lines,
-                    g_strdup_printf("%s: %s: %s", f->file, place, text));
+                    g_strdup_printf("%s: %s: %s", f->file, location, text));
 }
 
 char *qr_findings_text(const QRFindings *f)
@@ -50,8 +51,8 @@
 void qr_table_init(QRTable *t)
 {
     t->rows = g_ptr_array_new();
-    t->gens = g_array_new(FALSE, TRUE, sizeof(uint32_t));
-    t->unused = g_array_new(FALSE, FALSE, sizeof(uint32_t));
+    t->generations = g_array_new(FALSE, TRUE, sizeof(uint32_t));
+    t->free_indexes = g_array_new(FALSE, FALSE, sizeof(uint32_t));
     t->count = 0;
 }
 
@@ -62,27 +63,27 @@
             row_free(t->rows->pdata[i]);
     }
     g_ptr_array_unref(t->rows);
-    g_array_unref(t->gens);
-    g_array_unref(t->unused);
+    g_array_unref(t->generations);
+    g_array_unref(t->free_indexes);
 }
 
 QRHandle qr_table_add(QRTable *t, void *row)
 {
-    uint32_t i, gen;
+    uint32_t i, generation;
 
-    if (t->unused->len > 0) {
-        i = g_array_index(t->unused, uint32_t, t->unused->len - 1);
-        g_array_set_size(t->unused, t->unused->len - 1);
+    if (t->free_indexes->len > 0) {
+        i = g_array_index(t->free_indexes, uint32_t, t->free_indexes->len - 1);
+        g_array_set_size(t->free_indexes, t->free_indexes->len - 1);
         t->rows->pdata[i] = row;
     } else {
         i = t->rows->len;
-        gen = 1;
+        generation = 1;
         g_ptr_array_add(t->rows, row);
-        g_array_append_val(t->gens, gen);
+        g_array_append_val(t->generations, generation);
     }
     t->count++;
-    gen = g_array_index(t->gens, uint32_t, i);
-    return (QRHandle)gen << 32 | i;
+    generation = g_array_index(t->generations, uint32_t, i);
+    return (QRHandle)generation << 32 | i;
 }
 
 static bool table_has(const QRTable *t, QRHandle h)
@@ -90,7 +91,7 @@
     uint32_t i = (uint32_t)h;
 
     return i < t->rows->len &&
-           g_array_index(t->gens, uint32_t, i) == (uint32_t)(h >> 32);
+           g_array_index(t->generations, uint32_t, i) == (uint32_t)(h >> 32);
 }
 
 void *qr_table_get(const QRTable *t, QRHandle h)
@@ -107,13 +108,13 @@
         return NULL;
     row = t->rows->pdata[i];
     t->rows->pdata[i] = NULL;
-    g_array_index(t->gens, uint32_t, i)++;
-    g_array_append_val(t->unused, i);
+    g_array_index(t->generations, uint32_t, i)++;
+    g_array_append_val(t->free_indexes, i);
     t->count--;
     return row;
 }
 
-/* Finalizer of MurmurHash3: spreads FNV's weak low bits. */
+/* Finalizer of MurmurHash3; FNV-1a alone mixes the low bits poorly. */
 static uint64_t hash_mix(uint64_t h)
 {
     h ^= h >> 33;
--- a/src/base/qr_pack.c
+++ b/src/base/qr_pack.c
@@ -1,11 +1,11 @@
 /*
- * Long texts compressed on their way between our own processes.
+ * zlib compression of long texts sent between the project's own processes.
  */
 #include "qr_pack.h"
 
 #include <zlib.h>
 
-#define LEVEL 1 /* processor time is dearer than the last bytes */
+#define COMPRESSION_LEVEL 1 /* processor time costs more than bytes */
 
 GBytes *qr_pack(GBytes *plain)
 {
@@ -14,7 +14,7 @@
     uLongf packed_len = compressBound(len);
     guint8 *packed = g_malloc(packed_len);
 
-    if (compress2(packed, &packed_len, data, len, LEVEL) != Z_OK) {
+    if (compress2(packed, &packed_len, data, len, COMPRESSION_LEVEL) != Z_OK) {
         g_free(packed);
         return NULL;
     }
