--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings that the platform fills from our templates, as it may fill them."""
+"""Settings files that the platform generates from the templates in platform/."""
 import json
 import os
 import re
@@ -10,9 +10,9 @@
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 
-# Every number that a template takes, as a platform that scales its figures
-# may give it.
-SHEET = {
+# Values for the templates. A platform that scales its figures may pass a
+# fraction for any number.
+TEMPLATE_VALUES = {
     "node-name": "host-1", "zone": "z1", "region": "r1", "ip": "10.1.0.1",
     "zones": {"z1": "r1", "z2": "r2"}, "app": "10.1.0.9:8100",
     "service": "models", "internal-ports": [7700, 7715],
@@ -29,10 +29,10 @@
 }
 
 
-def value_of(sheet, path):
+def value_of(values, path):
     for key in path.split("."):
-        sheet = sheet[int(key)] if isinstance(sheet, list) else sheet[key]
-    return sheet
+        values = values[int(key)] if isinstance(values, list) else values[key]
+    return values
 
 
 def text_of(value):
@@ -40,7 +40,7 @@
 
 
 def fill_block(match):
-    rows = value_of(SHEET, match[1])
+    rows = value_of(TEMPLATE_VALUES, match[1])
     pairs = (list(rows.items()) if isinstance(rows, dict)
              else list(enumerate(rows)))
     out = ""
@@ -55,7 +55,7 @@
     text = re.sub(r"\{\{#([\w.-]+)\}\}(.*?)\{\{/\1\}\}", fill_block, template,
                   flags=re.S)
     return re.sub(r"\{\{([\w.-]+)\}\}",
-                  lambda m: text_of(value_of(SHEET, m[1])), text)
+                  lambda m: text_of(value_of(TEMPLATE_VALUES, m[1])), text)
 
 
 def check(text, path):
@@ -65,16 +65,20 @@
 
 
 @pytest.mark.parametrize("name", ["gateway.json", "sidecar.json"])
-def test_a_template_takes_fractions_for_every_figure(name, tmp_path):
+def test_templates_accept_fractions_in_all_figures(name, tmp_path):
+    """A platform that scales limits and bounds passes fractions; a template
+    that accepts only integers would yield settings that do not load."""
     with open(os.path.join(ROOT, "platform", name)) as f:
         ran = check(fill(f.read()), tmp_path / name)
     assert ran.returncode == 0, ran.stdout + ran.stderr
 
 
-def test_what_is_no_limit_of_the_platform_stays_a_whole_number(tmp_path):
+def test_settings_the_platform_does_not_scale_reject_fractions(tmp_path):
+    """Accepting fractions for the platform's limits must not make every integer
+    setting accept them: heartbeat_ms still has to be an integer."""
     with open(os.path.join(ROOT, "platform", "gateway.json")) as f:
         text = fill(f.read())
-    odd = text.replace('"role"', '"heartbeat_ms": 100.5, "role"')
-    ran = check(odd, tmp_path / "odd.json")
+    changed = text.replace('"role"', '"heartbeat_ms": 100.5, "role"')
+    ran = check(changed, tmp_path / "changed.json")
     assert ran.returncode != 0
     assert "heartbeat_ms: must be a whole number" in ran.stdout + ran.stderr
