--- a/src/sidecar/qr_pieces.c
+++ b/src/sidecar/qr_pieces.c
@@ -283,7 +283,8 @@
         return false;
     /* incoming pieces will show the speed; until then the link stays slow */
     if (s->targets && count_incoming(s) > 0)
-        s->link_slow_until_ms = MAX(s->link_slow_until_ms, now_ms + SLOW_LINK_MS);
+        s->link_slow_until_ms =
+            MAX(s->link_slow_until_ms, now_ms + SLOW_LINK_MS);
     return true;
 }
 
@@ -360,7 +361,8 @@
     }
     if (p->asked && !p->pending)
         return;
-    source = qr_source_choose(plan, index, p->attempts, effective_role(p, now_ms));
+    source =
+        qr_source_choose(plan, index, p->attempts, effective_role(p, now_ms));
     if (p->asked && is_source(p, &source))
         return;
     p->asked = p->pending = false;
--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -149,9 +149,9 @@
 /* Sends pieces that peers asked for, within the link's rate limit. */
 void qr_upload_send_queued(QRSidecar *s, uint64_t now_ms);
 void qr_weights_handle_want(QRSidecar *s, QRPeerConn *peer,
-                     const Qr__Fleet__Want *want);
+                            const Qr__Fleet__Want *want);
 void qr_weights_handle_piece(QRSidecar *s, QRPeerConn *peer,
-                      const Qr__Fleet__Piece *piece);
+                             const Qr__Fleet__Piece *piece);
 void qr_weights_peer_closed(QRSidecar *s, const QRPeerConn *peer);
 void qr_weights_clear(QRSidecar *s);
 /* Parses the manifest; 'data' stays with the caller. Returns false if it is
@@ -189,7 +189,8 @@
 }
 
 /* Returns the target of the version, or NULL. */
-QRTarget *qr_target_find(const QRSidecar *s, const char *model, uint64_t version);
+QRTarget *qr_target_find(const QRSidecar *s, const char *model,
+                         uint64_t version);
 /* Assigns a new target to peers that already wait for its version. */
 void qr_upload_bind_target(QRSidecar *s, QRTarget *t);
 /* Sends a peer the state of the piece that it asked for. */
@@ -202,7 +203,7 @@
 void qr_upload_send_state_all(const GArray *out, Qr__Fleet__Piece__State state);
 /* Removes the waiters of 'target' or 'peer'; those of a target are notified. */
 void qr_upload_drop_waiters(QRSidecar *s, const QRTarget *target,
-                    const QRPeerConn *peer);
+                            const QRPeerConn *peer);
 /* Notes that a piece sent to 'peer' has arrived. */
 void qr_upload_note_received(QRSidecar *s, const QRPeerConn *peer);
 GArray *qr_upload_in_flight_new(void);
--- a/src/sidecar/qr_stage.c
+++ b/src/sidecar/qr_stage.c
@@ -91,7 +91,8 @@
     r.connect_ms = CONNECT_MS;
     r.timeout_ms = STAGE_TIMEOUT_MS;
     p->stage_is_read = !put;
-    p->stage = qr_whole_send(s->engine_client, &r, handle_stage_answer, t, index);
+    p->stage =
+        qr_whole_send(s->engine_client, &r, handle_stage_answer, t, index);
     if (put)
         s->staged_version = t->version;
 }
@@ -261,7 +262,8 @@
     r.timeout_ms = ORDER_TIMEOUT_MS;
     s->announced_ms = 0;
     s->ordered_version = t->version;
-    s->order_call = qr_whole_send(s->engine_client, &r, handle_order_answer, s, 0);
+    s->order_call =
+        qr_whole_send(s->engine_client, &r, handle_order_answer, s, 0);
 }
 
 /* When the engine may start the version. An engine that gateways do not use
@@ -275,8 +277,9 @@
     if (!is_in_use(s, now_ms) || t->named_ms == 0)
         return 0;
     qr_sidecar_plan(s, t->version, &plan);
-    return qr_switch_time_ms(&plan, t->named_ms + MIN(SWITCH_LEAD_MS, bound / 3),
-                        t->named_ms + bound - MIN(bound, LAST_ORDER_MARGIN_MS));
+    return qr_switch_time_ms(
+        &plan, t->named_ms + MIN(SWITCH_LEAD_MS, bound / 3),
+        t->named_ms + bound - MIN(bound, LAST_ORDER_MARGIN_MS));
 }
 
 /*
--- a/src/sidecar/qr_uploads.c
+++ b/src/sidecar/qr_uploads.c
@@ -142,7 +142,8 @@
     unsigned slow = 0;
 
     for (unsigned i = s->unconfirmed_uploads->len; i > 0; i--) {
-        uint64_t sent_ms = g_array_index(s->unconfirmed_uploads, InFlight, i - 1).sent_ms;
+        uint64_t sent_ms =
+            g_array_index(s->unconfirmed_uploads, InFlight, i - 1).sent_ms;
 
         slow += now_ms > sent_ms + ACK_SLOW_MS;
         if (now_ms > sent_ms + ACK_TIMEOUT_MS)
@@ -282,8 +283,9 @@
 {
     if (want->role == QR__FLEET__WANT__ROLE__ROOT)
         return QR_PIECE_ROLE_ROOT;
-    return want->role == QR__FLEET__WANT__ROLE__FIRST ? QR_PIECE_ROLE_FIRST_RELAY
-                                                      : QR_PIECE_ROLE_RELAY;
+    return want->role == QR__FLEET__WANT__ROLE__FIRST
+               ? QR_PIECE_ROLE_FIRST_RELAY
+               : QR_PIECE_ROLE_RELAY;
 }
 
 /*
@@ -297,8 +299,8 @@
                               MAX(p->attempts.roots, want->root_attempt)};
 
     p->role = MAX(p->role, role_wanted(want));
-    if (p->fetch ||
-        (tried.relays == p->attempts.relays && tried.roots == p->attempts.roots))
+    if (p->fetch || (tried.relays == p->attempts.relays &&
+                     tried.roots == p->attempts.roots))
         return;
     p->attempts = tried;
     p->asked = p->pending = false;
--- a/src/sidecar/qr_weights.c
+++ b/src/sidecar/qr_weights.c
@@ -170,7 +170,8 @@
             "uploads=%u longest=%u from=%s root=%d pending=%d "
             "asked_ago_ms=%" G_GUINT64_FORMAT " relays_tried=%u roots_tried=%u",
             t->version, t->held_pieces, t->pieces->len, asked, pending,
-            t->sidecar->piece_window, qr_pieces_count_origin_requests(t->sidecar),
+            t->sidecar->piece_window,
+            qr_pieces_count_origin_requests(t->sidecar),
             t->sidecar->uploads.length, index,
             longest_wait ? longest_wait->source : "-",
             longest_wait && longest_wait->from_root,
