--- a/src/base/qr_base.h
+++ b/src/base/qr_base.h
@@ -52,7 +52,7 @@
 typedef struct QRTable {
     GPtrArray *rows;      /* row or NULL */
     GArray *generations;  /* uint32_t generation of each row */
-    GArray *free_indexes; /* uint32_t free indexes */
+    GArray *free_indexes; /* uint32_t */
     unsigned count;       /* rows in use */
 } QRTable;
 
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -73,7 +73,7 @@
     assert ran.returncode == 0, ran.stdout + ran.stderr
 
 
-def test_settings_the_platform_does_not_scale_reject_fractions(tmp_path):
+def test_settings_the_platform_does_not_scale_must_be_integers(tmp_path):
     """Accepting fractions for the platform's limits must not make every integer
     setting accept them: heartbeat_ms still has to be an integer."""
     with open(os.path.join(ROOT, "platform", "gateway.json")) as f:
