--- a/src/fleet/qr_follower.c
+++ b/src/fleet/qr_follower.c
@@ -28,7 +28,7 @@
     char *address;
     const QRFollowerHandlers *handlers;
     void *owner;
-    QRWhole *call;
+    QRBufferedCall *call;
     bool listing;        /* the call under way is a listing */
     bool listed;         /* a listing was taken, reads go on from 'offset' */
     char *after;         /* last key of the page before */
@@ -218,7 +218,7 @@
 }
 
 /* The epoch that an answer names; one that names none is of that before it. */
-static uint64_t answer_epoch(const QRFollower *f, const QRWholeAnswer *a)
+static uint64_t answer_epoch(const QRFollower *f, const QRBufferedAnswer *a)
 {
     g_auto(QRFindings) findings = {0};
     uint64_t epoch;
@@ -281,7 +281,7 @@
 }
 
 /* What a call that failed, was slow or brought much has cost. */
-static void answer_log(const QRFollower *f, const QRWholeAnswer *a,
+static void answer_log(const QRFollower *f, const QRBufferedAnswer *a,
                        const char *why)
 {
     uint64_t took = f->now_ms - MIN(f->sent_ms, f->now_ms);
@@ -296,7 +296,7 @@
             took, f->wait_ms, a->received, why);
 }
 
-static void answer_done(void *owner, unsigned ref, const QRWholeAnswer *a)
+static void answer_done(void *owner, unsigned ref, const QRBufferedAnswer *a)
 {
     QRFollower *f = owner;
     QRStorePage page = {0};
@@ -307,7 +307,7 @@
     note_time(f, qr_client_now(f->client));
     f->call = NULL;
     if (a->status == 0)
-        g_strlcpy(why, a->why, sizeof(why));
+        g_strlcpy(why, a->error, sizeof(why));
     else
         g_snprintf(why, sizeof(why), "status %u", a->status);
     answer_log(f, a, why);
@@ -329,7 +329,7 @@
 static void follower_send(QRFollower *f)
 {
     g_autofree char *path = NULL;
-    QRWholeRequest r = {0};
+    QRBufferedRequest r = {0};
     /* while the store is away, a read that waits would find it back late; after
        a rest nobody could say since when what it brings was there */
     bool current = f->reached && f->current_ms > 0 &&
@@ -352,7 +352,7 @@
     f->sent_ms = f->now_ms;
     f->asked = f->next;
     f->still_ms = 0;
-    f->call = qr_whole_send(f->client, &r, answer_done, f, 0);
+    f->call = qr_buffered_send(f->client, &r, answer_done, f, 0);
     f->fresh = qr_client_opened(f->client) > opened;
 }
 
@@ -377,7 +377,7 @@
 {
     if (!f)
         return;
-    qr_whole_cancel(f->call);
+    qr_buffered_cancel(f->call);
     g_ptr_array_unref(f->pages);
     g_free(f->after);
     g_free(f->address);
@@ -426,7 +426,7 @@
 
 static void call_cancel(QRFollower *f)
 {
-    qr_whole_cancel(f->call);
+    qr_buffered_cancel(f->call);
     f->call = NULL;
 }
 
@@ -468,7 +468,7 @@
     if (!paused)
         f->next_ms = 0;
     /* one that only waits would bring what others are to tell us */
-    if (paused && f->call && f->wait_ms > 0 && !qr_whole_began(f->call))
+    if (paused && f->call && f->wait_ms > 0 && !qr_buffered_has_head(f->call))
         call_cancel(f);
 }
 
--- a/src/gateway/qr_gateway.c
+++ b/src/gateway/qr_gateway.c
@@ -131,7 +131,7 @@
  */
 static bool gateway_stood_still(QRGateway *g, uint64_t now)
 {
-    uint64_t gap = qr_ticks_stood_still(&g->ticks, now, STOOD_STILL_MS);
+    uint64_t gap = qr_ticks_stall_ms(&g->ticks, now, STOOD_STILL_MS);
 
     if (gap == 0)
         return false;
--- a/src/gateway/qr_gateway_front.c
+++ b/src/gateway/qr_gateway_front.c
@@ -276,7 +276,7 @@
         qr_follower_calls(g->follow_operator) +
             qr_follower_calls(g->follow_engines),
         qr_log_dropped());
-    qr_traffic_text(qr_peers_traffic(g->peers), out);
+    qr_traffic_append_metrics(qr_peers_traffic(g->peers), out);
     reply(x, "text/plain; version=0.0.4", out->str);
 }
 
--- a/src/gateway/qr_gateway_peers.c
+++ b/src/gateway/qr_gateway_peers.c
@@ -192,7 +192,7 @@
         strcmp(h->role, QR_ROLE_GATEWAY) == 0)
         qr_peers_redial(g->peers, h->address);
     qr_peer_set_data(peer, qr_members_get(&g->members, h->name));
-    qr_peer_set_far(peer, g_strcmp0(h->region, g->set->region) != 0);
+    qr_peer_set_cross_region(peer, g_strcmp0(h->region, g->set->region) != 0);
     if (news)
         heard_of(g, news, &former);
     if (strcmp(h->role, QR_ROLE_GATEWAY) == 0 && qr_peer_data(peer)) {
@@ -201,7 +201,7 @@
     }
     if (qr_peer_dialled(
             peer)) { /* the other side welcomes us, tells its load */
-        qr_peer_care(peer, QR_PEER_HEARS);
+        qr_peer_set_liveness(peer, QR_PEER_RECEIVES);
         return;
     }
     if (qr_peer_data(peer))
--- a/src/gateway/qr_requests.h
+++ b/src/gateway/qr_requests.h
@@ -21,7 +21,7 @@
     GPtrArray *broken; /* BrokenRun *: runs of engines that may have ended */
     GArray *answered;  /* QRFingerprint: to be told to other gateways */
     QRFollower *follow;
-    QRWhole *write; /* to the store, under way, or NULL */
+    QRBufferedCall *write; /* to the store, under way, or NULL */
     QRFingerprint writing;
     bool reads;            /* the store goes on being read */
     unsigned writing_mark; /* what is written: see qr_requests_store.c */
--- a/src/gateway/qr_requests_store.c
+++ b/src/gateway/qr_requests_store.c
@@ -49,7 +49,7 @@
     return qr_json_text(o);
 }
 
-static void note_answer_epoch(QRGateway *g, const QRWholeAnswer *a)
+static void note_answer_epoch(QRGateway *g, const QRBufferedAnswer *a)
 {
     g_auto(QRFindings) f = {0};
 
@@ -60,7 +60,7 @@
                 (const char *)f.lines->pdata[0]);
 }
 
-static void write_done(void *owner, unsigned ref, const QRWholeAnswer *a)
+static void write_done(void *owner, unsigned ref, const QRBufferedAnswer *a)
 {
     QRGateway *g = owner;
     QRRequests *q = &g->requests;
@@ -79,7 +79,7 @@
     qr_logf(done ? QR_LEVEL_INFO : QR_LEVEL_WARN, "requests",
             "%s request=%s mark=%u status=%u why=%s",
             done ? "stored" : "not stored", text, q->writing_mark, a->status,
-            a->status ? "answered" : a->why);
+            a->status ? "answered" : a->error);
     if (!s || mark_of(s) != q->writing_mark)
         return; /* what is to be stored has changed meanwhile */
     s->store_due_ms = done ? 0 : q->write_ms;
@@ -92,23 +92,23 @@
 }
 
 static void put(QRGateway *g, const char *key, const char *value,
-                QRWholeDone done)
+                QRBufferedDone done)
 {
     g_autoptr(GBytes) bytes = g_bytes_new(value, strlen(value));
     g_autoptr(GBytes) body = NULL;
     g_autofree char *path =
         g->platform->put_path(QR_TOPIC_HELD, key, bytes, &body);
-    QRWholeRequest r = {.address = g->set->store,
-                        .method = "POST",
-                        .path = path,
-                        .content_type = "application/octet-stream",
-                        .connect_ms = CONNECT_MS,
-                        .timeout_ms = QR_STORE_TIMEOUT_MS};
+    QRBufferedRequest r = {.address = g->set->store,
+                           .method = "POST",
+                           .path = path,
+                           .content_type = "application/octet-stream",
+                           .connect_ms = CONNECT_MS,
+                           .timeout_ms = QR_STORE_TIMEOUT_MS};
     gsize len;
 
     r.body = g_bytes_get_data(body, &len);
     r.body_len = len;
-    g->requests.write = qr_whole_send(g->to_store, &r, done, g, 0);
+    g->requests.write = qr_buffered_send(g->to_store, &r, done, g, 0);
 }
 
 static void write_row(QRGateway *g, const QRSuspect *s)
@@ -283,6 +283,6 @@
 
 void qr_requests_unfollow(QRGateway *g)
 {
-    qr_whole_cancel(g->requests.write);
+    qr_buffered_cancel(g->requests.write);
     qr_follower_free(g->requests.follow);
 }
--- a/src/net/qr_client.c
+++ b/src/net/qr_client.c
@@ -173,7 +173,7 @@
     QRClientCall *call = l->call;
 
     /* an answer without a length ends here, if it was not a reset */
-    if (call && call->answered && qr_socket_ended(&l->tcp) &&
+    if (call && call->answered && qr_socket_closed_by_peer(&l->tcp) &&
         l->message.head_done && qr_message_end_of_file(&l->message))
         return;
     if (!l->closing)
--- a/src/net/qr_client_silence.c
+++ b/src/net/qr_client_silence.c
@@ -159,7 +159,7 @@
     uint64_t since = now - MIN(now, ALL_QUIET_MS);
     bool news = false;
 
-    if (qr_ticks_stood_still(&c->ticks, now, STOOD_STILL_MS) > 0)
+    if (qr_ticks_stall_ms(&c->ticks, now, STOOD_STILL_MS) > 0)
         c->awake_ms = now;
     if (since < c->awake_ms || !all_are_quiet(c, since))
         return;
--- a/src/net/qr_clock.h
+++ b/src/net/qr_clock.h
@@ -1,8 +1,8 @@
 /*
- * The time by which ages, leases, bounds and deadlines are judged: that of the
- * loop, and the time for which the host was suspended besides. The steady clock
- * of the loop does not count that: a host that was asleep for 5 s would believe
- * all it heard before to be fresh.
+ * Clock for ages, leases, bounds and deadlines: the time of the loop plus the
+ * time for which the host was suspended. The monotonic clock of the loop does
+ * not count suspension, so after 5 s of suspension a process would take data
+ * received before that for fresh.
  */
 #ifndef QR_CLOCK_H
 #define QR_CLOCK_H
@@ -11,11 +11,11 @@
 
 #include <uv.h>
 
-/* Milliseconds, never less than before; the same throughout one round of the
-   loop, unless the host was suspended. */
+/* Milliseconds, never decreasing; constant during one iteration of the loop
+   unless the host was suspended. */
 uint64_t qr_clock_ms(const uv_loop_t *loop);
-/* For tests: what tells the milliseconds for which the host was suspended since
-   it started; NULL: the kernel. */
+/* For tests: replaces the function that returns the milliseconds for which the
+   host was suspended since boot. NULL restores the kernel's clocks. */
 void qr_clock_set_source(uint64_t (*suspended_ms)(void));
 
 #endif
--- a/src/net/qr_peer.c
+++ b/src/net/qr_peer.c
@@ -1,6 +1,7 @@
 /*
- * Connections between our own processes: protobuf-c frames over TCP, kept
- * open, dialled again when they break or go silent (qr_peer_dial.c).
+ * TCP connections between quayring processes, which carry protobuf-c frames
+ * with a 4-byte length prefix in network byte order. qr_peer_dial.c dials them
+ * and detects silence.
  */
 #include "qr_peer_parts.h"
 #include "qr_socket.h"
@@ -10,27 +11,30 @@
 #include <arpa/inet.h>
 #include <string.h>
 
-#define HEAD_BYTES 4
-#define FRAME_MAX (4u << 20)
+#define HEADER_BYTES 4
+#define FRAME_MAX_BYTES (4u << 20)
 #define BACKLOG 512
-#define SILENT_MS 2000 /* unacknowledged bytes break a connection */
-/* An accepted connection on which nothing comes: the kernel asks. */
-#define ACCEPTED_IDLE_S 5
-/* An accepted connection is dead if its dialler greets us on another and this
-   one has been quiet for so long: less than any dialler waits (doubt_ms). One
-   that was heard since may be alive, and is the dialler's to close. */
-#define SUPERSEDED_QUIET_MS 300
-/* Between two ticks, which come every 100 ms: this process stood still, and
-   what came meanwhile is not read yet. */
-#define STOOD_STILL_MS 400
-#define TRAFFIC_LOG_MS 1000   /* between two log lines of what was sent */
-#define UNSENT_MAX (4u << 20) /* a peer that does not read is cut off */
-
-static void peer_freed(uv_handle_t *h)
+#define UNACKED_TIMEOUT_MS 2000 /* TCP_USER_TIMEOUT */
+/* Idle time before TCP keepalive probes an accepted connection. */
+#define KEEPALIVE_IDLE_S 5
+/* An accepted connection that has been silent this long is closed when the
+   other side sends its Hello on a newer one. The limit is below every
+   suspect_ms, after which a dialling process opens a second connection. A
+   connection that received bytes since may be alive, and is left for the
+   dialling process to close. */
+#define SUPERSEDED_SILENT_MS 300
+/* A longer gap between two ticks, which are due every 100 ms, means that this
+   process did not run and has not read the bytes that arrived meanwhile. */
+#define PROCESS_STALL_MS 400
+#define TRAFFIC_LOG_INTERVAL_MS 1000
+/* A connection with more queued bytes is closed: its peer does not read. */
+#define UNSENT_MAX_BYTES (4u << 20)
+
+static void free_peer(uv_handle_t *h)
 {
     QRPeerConn *peer = h->data;
 
-    g_byte_array_unref(peer->in);
+    g_byte_array_unref(peer->read_buf);
     g_free(peer);
 }
 
@@ -43,11 +47,11 @@
     peer->closing = true;
     p->open -= peer->open;
     if (peer->open && p->open == 0)
-        p->alone_ms = qr_clock_ms(p->loop);
-    g_ptr_array_remove_fast(p->all, peer);
+        p->disconnected_ms = qr_clock_ms(p->loop);
+    g_ptr_array_remove_fast(p->connections, peer);
     if (peer->target)
         qr_peer_target_lost(peer->target, peer, qr_clock_ms(p->loop));
-    uv_close((uv_handle_t *)&peer->tcp, peer_freed);
+    uv_close((uv_handle_t *)&peer->tcp, free_peer);
     if (peer->open && !p->closing)
         p->handlers->closed(p->owner, peer);
 }
@@ -65,12 +69,12 @@
     qr_peer_send(peer, &frame);
 }
 
-static void peer_frame(QRPeerConn *peer, const QRFrame *frame)
+static void dispatch_frame(QRPeerConn *peer, const QRFrame *frame)
 {
     QRPeerNet *p = peer->peers;
 
-    if (peer->target && peer->target->second == peer &&
-        !qr_peer_second_counts(peer))
+    if (peer->target && peer->target->standby == peer &&
+        !qr_peer_promote_standby(peer))
         return;
     if (frame->body_case != QR__FLEET__FRAME__BODY_PROBE)
         p->handlers->frame(p->owner, peer, frame);
@@ -78,15 +82,15 @@
         qr_peer_probe(peer, true);
 }
 
-/* Not a frame of ours. One of a kind that only a newer build knows is passed
-   over: it has a field, if an unknown one. */
+/* A frame without any field is invalid. A frame kind that only a newer build
+   defines appears as an unknown field, and is ignored. */
 static bool is_empty(const QRFrame *frame)
 {
     return frame->body_case == QR__FLEET__FRAME__BODY__NOT_SET &&
            frame->base.n_unknown_fields == 0;
 }
 
-static void peer_take(QRPeerConn *peer, const uint8_t *data, size_t len)
+static void unpack_frame(QRPeerConn *peer, const uint8_t *data, size_t len)
 {
     QRFrame *frame = qr__fleet__frame__unpack(NULL, len, data);
 
@@ -97,11 +101,11 @@
         return;
     }
     if (frame->body_case != QR__FLEET__FRAME__BODY__NOT_SET)
-        peer_frame(peer, frame);
+        dispatch_frame(peer, frame);
     qr__fleet__frame__free_unpacked(frame, NULL);
 }
 
-static void peer_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
+static void on_read(uv_stream_t *stream, ssize_t n, const uv_buf_t *buf)
 {
     QRPeerConn *peer = stream->data;
     size_t used = 0;
@@ -110,28 +114,28 @@
         qr_peer_close(peer);
         return;
     }
-    peer->heard_ms = qr_clock_ms(peer->peers->loop);
-    peer->expect_ms = 0;
-    if (peer->in->len == 0)
-        peer->frame_since_ms = peer->heard_ms;
-    g_byte_array_append(peer->in, (const guint8 *)buf->base, (guint)n);
-    while (!peer->closing && peer->in->len - used >= HEAD_BYTES) {
+    peer->received_ms = qr_clock_ms(peer->peers->loop);
+    peer->awaiting_since_ms = 0;
+    if (peer->read_buf->len == 0)
+        peer->frame_start_ms = peer->received_ms;
+    g_byte_array_append(peer->read_buf, (const guint8 *)buf->base, (guint)n);
+    while (!peer->closing && peer->read_buf->len - used >= HEADER_BYTES) {
         uint32_t len;
 
-        memcpy(&len, peer->in->data + used, HEAD_BYTES);
+        memcpy(&len, peer->read_buf->data + used, HEADER_BYTES);
         len = ntohl(len);
-        if (len > FRAME_MAX) {
+        if (len > FRAME_MAX_BYTES) {
             qr_peer_close(peer);
             return;
         }
-        if (peer->in->len - used < HEAD_BYTES + (size_t)len)
+        if (peer->read_buf->len - used < HEADER_BYTES + (size_t)len)
             break;
-        peer_take(peer, peer->in->data + used + HEAD_BYTES, len);
-        used += HEAD_BYTES + (size_t)len;
-        peer->frame_since_ms = qr_clock_ms(peer->peers->loop);
+        unpack_frame(peer, peer->read_buf->data + used + HEADER_BYTES, len);
+        used += HEADER_BYTES + (size_t)len;
+        peer->frame_start_ms = qr_clock_ms(peer->peers->loop);
     }
     if (!peer->closing && used > 0)
-        g_byte_array_remove_range(peer->in, 0, (guint)used);
+        g_byte_array_remove_range(peer->read_buf, 0, (guint)used);
 }
 
 void qr_peer_start(QRPeerConn *peer)
@@ -142,18 +146,18 @@
 
     peer->open = true;
     p->open++;
-    peer->heard_ms = qr_clock_ms(p->loop);
+    peer->received_ms = qr_clock_ms(p->loop);
     if (peer->target)
-        qr_peer_target_reached(peer->target);
-    qr_socket_tune(&peer->tcp, SILENT_MS);
+        qr_peer_target_connected(peer->target);
+    qr_socket_tune(&peer->tcp, UNACKED_TIMEOUT_MS);
     if (!peer->target)
-        uv_tcp_keepalive(&peer->tcp, 1, ACCEPTED_IDLE_S);
+        uv_tcp_keepalive(&peer->tcp, 1, KEEPALIVE_IDLE_S);
     frame.body_case = QR__FLEET__FRAME__BODY_HELLO;
     frame.hello = &hello;
     p->handlers->greet(p->owner, &frame, &hello);
     qr_peer_send(peer, &frame);
     if (!peer->closing)
-        uv_read_start((uv_stream_t *)&peer->tcp, qr_socket_buffer, peer_read);
+        uv_read_start((uv_stream_t *)&peer->tcp, qr_socket_buffer, on_read);
 }
 
 QRPeerConn *qr_peer_new(QRPeerNet *p)
@@ -161,16 +165,16 @@
     QRPeerConn *peer = g_new0(QRPeerConn, 1);
 
     peer->peers = p;
-    peer->in = g_byte_array_new();
+    peer->read_buf = g_byte_array_new();
     peer->tcp.data = peer;
     peer->connect.data = peer;
-    peer->since_ms = qr_clock_ms(p->loop);
+    peer->created_ms = qr_clock_ms(p->loop);
     uv_tcp_init(p->loop, &peer->tcp);
-    g_ptr_array_add(p->all, peer);
+    g_ptr_array_add(p->connections, peer);
     return peer;
 }
 
-static void peers_accept(uv_stream_t *stream, int status)
+static void on_accept(uv_stream_t *stream, int status)
 {
     QRPeerNet *p = stream->data;
     QRPeerConn *peer;
@@ -195,8 +199,8 @@
     p->loop = loop;
     p->handlers = handlers;
     p->owner = owner;
-    p->all = g_ptr_array_new();
-    p->alone_ms = qr_clock_ms(loop);
+    p->connections = g_ptr_array_new();
+    p->disconnected_ms = qr_clock_ms(loop);
     p->targets = g_hash_table_new_full(g_str_hash, g_str_equal, NULL,
                                        qr_peer_target_free);
     p->tcp.data = p;
@@ -204,7 +208,7 @@
     if (rc == 0)
         rc = uv_tcp_bind(&p->tcp, (const struct sockaddr *)&at, 0);
     if (rc == 0)
-        rc = uv_listen((uv_stream_t *)&p->tcp, BACKLOG, peers_accept);
+        rc = uv_listen((uv_stream_t *)&p->tcp, BACKLOG, on_accept);
     if (rc != 0) {
         g_set_error(err, QR_ERROR, QR_ERROR_IO, "cannot listen on %s: %s",
                     listen, uv_strerror(rc));
@@ -214,11 +218,11 @@
     return p;
 }
 
-static void peers_freed(uv_handle_t *h)
+static void free_peers(uv_handle_t *h)
 {
     QRPeerNet *p = h->data;
 
-    g_ptr_array_unref(p->all);
+    g_ptr_array_unref(p->connections);
     g_hash_table_unref(p->targets);
     g_free(p);
 }
@@ -226,18 +230,19 @@
 void qr_peers_close(QRPeerNet *p)
 {
     p->closing = true;
-    while (p->all->len > 0)
-        qr_peer_close(p->all->pdata[0]);
-    uv_close((uv_handle_t *)&p->tcp, peers_freed);
+    while (p->connections->len > 0)
+        qr_peer_close(p->connections->pdata[0]);
+    uv_close((uv_handle_t *)&p->tcp, free_peers);
 }
 
-/* Whoever spoke while we stood still could not be heard. */
-static void check_stood_still(QRPeerNet *p, uint64_t now_ms)
+/* After a stall of this process, resets the silence of all connections: bytes
+   that arrived during the stall have not been read yet. */
+static void check_process_stall(QRPeerNet *p, uint64_t now_ms)
 {
-    bool stood = qr_ticks_stood_still(&p->ticks, now_ms, STOOD_STILL_MS) > 0;
+    bool stalled = qr_ticks_stall_ms(&p->ticks, now_ms, PROCESS_STALL_MS) > 0;
 
-    for (unsigned i = 0; stood && i < p->all->len; i++)
-        ((QRPeerConn *)p->all->pdata[i])->heard_ms = now_ms;
+    for (unsigned i = 0; stalled && i < p->connections->len; i++)
+        ((QRPeerConn *)p->connections->pdata[i])->received_ms = now_ms;
 }
 
 void qr_peers_tick(QRPeerNet *p, uint64_t now_ms)
@@ -247,11 +252,11 @@
     void *value;
 
     if (now_ms >= p->traffic_log_ms) {
-        p->traffic_log_ms = now_ms + TRAFFIC_LOG_MS;
+        p->traffic_log_ms = now_ms + TRAFFIC_LOG_INTERVAL_MS;
         qr_traffic_log(&p->traffic, &p->traffic_logged);
     }
-    check_stood_still(p, now_ms);
-    /* what is told of a connection that closes may have others dialled */
+    check_process_stall(p, now_ms);
+    /* the 'closed' handler may add targets: iterate over a copy */
     g_hash_table_iter_init(&it, p->targets);
     while (g_hash_table_iter_next(&it, NULL, &value))
         g_ptr_array_add(all, value);
@@ -262,16 +267,17 @@
 void qr_peer_send(QRPeerConn *peer, const QRFrame *frame)
 {
     size_t len = qr__fleet__frame__get_packed_size(frame);
-    g_autofree uint8_t *buf = g_malloc(HEAD_BYTES + len);
-    uint32_t head = htonl((uint32_t)len);
+    g_autofree uint8_t *buf = g_malloc(HEADER_BYTES + len);
+    uint32_t header = htonl((uint32_t)len);
 
     if (!peer->open || peer->closing)
         return;
-    memcpy(buf, &head, HEAD_BYTES);
-    qr__fleet__frame__pack(frame, buf + HEAD_BYTES);
-    qr_traffic_add(&peer->peers->traffic, frame, peer->far, HEAD_BYTES + len);
-    if (qr_socket_write(&peer->tcp, buf, HEAD_BYTES + len) < 0 ||
-        qr_peer_unsent(peer) > UNSENT_MAX)
+    memcpy(buf, &header, HEADER_BYTES);
+    qr__fleet__frame__pack(frame, buf + HEADER_BYTES);
+    qr_traffic_add(&peer->peers->traffic, frame, peer->cross_region,
+                   HEADER_BYTES + len);
+    if (qr_socket_write(&peer->tcp, buf, HEADER_BYTES + len) < 0 ||
+        qr_peer_unsent(peer) > UNSENT_MAX_BYTES)
         qr_peer_close(peer);
 }
 
@@ -287,8 +293,8 @@
 
 void qr_peers_clear_data(QRPeerNet *p, const void *data)
 {
-    for (unsigned i = 0; i < p->all->len; i++) {
-        QRPeerConn *peer = p->all->pdata[i];
+    for (unsigned i = 0; i < p->connections->len; i++) {
+        QRPeerConn *peer = p->connections->pdata[i];
 
         if (peer->data == data)
             peer->data = NULL;
@@ -297,34 +303,34 @@
 
 void qr_peer_close_older(QRPeerConn *peer)
 {
-    const GPtrArray *all = peer->peers->all;
+    const GPtrArray *all = peer->peers->connections;
 
     for (unsigned i = all->len; i > 0; i--) {
         QRPeerConn *older = i <= all->len ? all->pdata[i - 1] : NULL;
 
         if (!older || older->target || older->data != peer->data ||
-            older->since_ms >= peer->since_ms ||
-            qr_peer_quiet_ms(older) < SUPERSEDED_QUIET_MS)
+            older->created_ms >= peer->created_ms ||
+            qr_peer_silent_ms(older) < SUPERSEDED_SILENT_MS)
             continue;
         qr_logf(QR_LEVEL_INFO, "peers",
                 "superseded age_ms=%" G_GUINT64_FORMAT
                 " quiet_ms=%" G_GUINT64_FORMAT,
-                qr_clock_ms(peer->peers->loop) - older->since_ms,
-                qr_peer_quiet_ms(older));
+                qr_clock_ms(peer->peers->loop) - older->created_ms,
+                qr_peer_silent_ms(older));
         qr_peer_close(older);
     }
 }
 
-void qr_peer_care(QRPeerConn *peer, QRPeerCare care)
+void qr_peer_set_liveness(QRPeerConn *peer, QRPeerLiveness liveness)
 {
     if (peer->target)
-        peer->target->care = care;
+        peer->target->liveness = liveness;
 }
 
-void qr_peer_expect(QRPeerConn *peer)
+void qr_peer_expect_answer(QRPeerConn *peer)
 {
-    if (peer->expect_ms == 0)
-        peer->expect_ms = qr_clock_ms(peer->peers->loop);
+    if (peer->awaiting_since_ms == 0)
+        peer->awaiting_since_ms = qr_clock_ms(peer->peers->loop);
 }
 
 const char *qr_peer_dialled(const QRPeerConn *peer)
@@ -343,12 +349,12 @@
 {
     uint64_t now = qr_clock_ms(peer->peers->loop);
 
-    return now - MIN(peer->frame_since_ms, now);
+    return now - MIN(peer->frame_start_ms, now);
 }
 
-void qr_peer_set_far(QRPeerConn *peer, bool far)
+void qr_peer_set_cross_region(QRPeerConn *peer, bool cross_region)
 {
-    peer->far = far;
+    peer->cross_region = cross_region;
 }
 
 uint64_t qr_peers_replaced(const QRPeerNet *p)
--- a/src/net/qr_peer.h
+++ b/src/net/qr_peer.h
@@ -1,6 +1,6 @@
 /*
- * Connections between our own processes: protobuf-c frames over TCP, kept
- * open, dialled again when they break or go silent.
+ * TCP connections between quayring processes, which carry protobuf-c frames.
+ * A connection that breaks or goes silent is dialled again.
  */
 #ifndef QR_PEER_H
 #define QR_PEER_H
@@ -17,61 +17,76 @@
 typedef struct QRPeerConn QRPeerConn; /* one connection */
 
 typedef struct QRPeerHandlers {
-    /* Our greeting, sent first on every connection; packed at once. */
+    /* Fills in the Hello frame, the first one sent on every connection. The
+       frame is packed on return, so its pointers need not outlive the call. */
     void (*greet)(void *owner, QRFrame *frame, Qr__Fleet__Hello *hello);
+    /* A frame arrived; 'frame' is valid during the call only. */
     void (*frame)(void *owner, QRPeerConn *peer, const QRFrame *frame);
+    /* An open connection closed; 'peer' is freed after the call. */
     void (*closed)(void *owner, QRPeerConn *peer);
 } QRPeerHandlers;
 
+/*
+ * Listens on 'listen' ("ip:port"). 'handlers' and 'owner' are borrowed. Returns
+ * NULL and sets 'err' if the address is invalid or cannot be bound.
+ */
 QRPeerNet *qr_peers_new(uv_loop_t *loop, const char *listen,
                         const QRPeerHandlers *handlers, void *owner,
                         GError **err);
+/* Closes all connections without calling 'closed'. The loop frees 'p' later. */
 void qr_peers_close(QRPeerNet *p);
 /*
- * Sees to it that a connection to 'address' is open or being tried, at once if
- * it was resting after a failure.
+ * Keeps a connection to 'address' ("ip:port") open from now on. Cuts short the
+ * backoff after a failed attempt.
  */
 void qr_peers_dial(QRPeerNet *p, const char *address);
-/* The process there has started anew: what we dialled before is of no use. */
+/* The process at 'address' has restarted: closes the connection that was
+   dialled before and dials again. */
 void qr_peers_redial(QRPeerNet *p, const char *address);
-/* As qr_peers_dial(); returns the connection if it is open by now, else NULL.
- */
-QRPeerConn *qr_peers_open_at(QRPeerNet *p, const char *address);
+/* Returns the connection dialled to 'address' if it is open, else NULL. Dials
+   an address that has not been dialled before. */
+QRPeerConn *qr_peers_get_open(QRPeerNet *p, const char *address);
+/* Redials, probes and replaces connections; to be called every 100 ms. */
 void qr_peers_tick(QRPeerNet *p, uint64_t now_ms);
+/* Packs and sends 'frame'. Does nothing if the connection is not open; closes
+   the connection if the write fails or too many bytes are queued. */
 void qr_peer_send(QRPeerConn *peer, const QRFrame *frame);
 void qr_peer_close(QRPeerConn *peer);
+/* Attaches a pointer of the owner's, which is borrowed. */
 void qr_peer_set_data(QRPeerConn *peer, void *data);
 void *qr_peer_data(const QRPeerConn *peer);
-/* 'data' is about to go: no connection may name it any more. */
+/* Detaches 'data' from all connections; to be called before 'data' is freed. */
 void qr_peers_clear_data(QRPeerNet *p, const void *data);
 /*
- * The other side has just greeted us on a connection that it dialled. It keeps
- * one: those that it dialled before are dead to it, though nothing may ever
- * tell us. Closes them, so that nothing is asked or told there.
+ * To be called when the other side has sent its Hello on a connection that it
+ * dialled. A process keeps one dialled connection to each address, and the end
+ * of an earlier one may never be reported here. Closes the earlier connections
+ * with the same data that are silent, to avoid sending on them.
  */
 void qr_peer_close_older(QRPeerConn *peer);
-/* How soon it matters that a connection which we dialled has gone silent. */
-typedef enum QRPeerCare {
-    QR_PEER_RESTS, /* not at all, until something is asked there */
-    QR_PEER_TELLS, /* we tell on it what others rest on */
-    QR_PEER_HEARS, /* words come on it that we rest on */
-    QR_PEER_CARE_COUNT
-} QRPeerCare;
+/* How quickly silence on a connection dialled by this process is detected. */
+typedef enum QRPeerLiveness {
+    QR_PEER_UNMONITORED, /* never, unless an answer is awaited */
+    QR_PEER_SENDS,       /* carries data that the other side depends on */
+    QR_PEER_RECEIVES,    /* carries data that this process depends on */
+    QR_PEER_LIVENESS_COUNT
+} QRPeerLiveness;
 
-void qr_peer_care(QRPeerConn *peer, QRPeerCare care);
-/* Something was asked there: until anything comes it is as if it were heard. */
-void qr_peer_expect(QRPeerConn *peer);
-/* The address that was dialled, or NULL if the other side did. */
+void qr_peer_set_liveness(QRPeerConn *peer, QRPeerLiveness liveness);
+/* A request was sent: until bytes arrive, the connection is monitored as
+   QR_PEER_RECEIVES, and silence counts from the time of this call at least. */
+void qr_peer_expect_answer(QRPeerConn *peer);
+/* The address that was dialled, or NULL for an accepted connection. */
 const char *qr_peer_dialled(const QRPeerConn *peer);
-/* Bytes written and not yet taken by the kernel. */
+/* Bytes queued for writing that the kernel has not accepted yet. */
 size_t qr_peer_unsent(const QRPeerConn *peer);
-/* How long the frame being handled took from its first byte to its last. */
+/* Milliseconds from the first byte of the frame being handled until now. */
 uint64_t qr_peer_frame_ms(const QRPeerConn *peer);
-/* The other side is in another region. */
-void qr_peer_set_far(QRPeerConn *peer, bool far);
-/* Connections so far that had gone silent and were replaced. */
+/* Sets whether the other side is in another region, for traffic counts. */
+void qr_peer_set_cross_region(QRPeerConn *peer, bool cross_region);
+/* Number of silent connections that were replaced so far. */
 uint64_t qr_peers_replaced(const QRPeerNet *p);
-/* What was sent over all connections so far. */
+/* Bytes sent over all connections so far; owned by 'p'. */
 const QRTraffic *qr_peers_traffic(const QRPeerNet *p);
 
 #endif
--- a/src/net/qr_peer_dial.c
+++ b/src/net/qr_peer_dial.c
@@ -1,50 +1,51 @@
 /*
- * Addresses to which connections of our own processes are kept open: dialled,
- * dialled again, and doubted.
+ * Dials the addresses to which this process keeps connections open, and
+ * replaces connections that go silent.
  *
- * A connection may go silent for good without a reset, and the kernel finds out
- * on the side that writes only. So the side that dialled asks, where something
- * rests on the connection, when it has heard nothing for a moment. If no answer
- * comes either it does not judge the old connection: it dials a second one.
- * When that is greeted while the old one is still mute, it takes its place;
- * when the old one speaks again, the second is closed. A peer that stands
- * still, or whose link is full, answers on neither and loses nothing.
+ * A connection may go silent for good without a reset, and only the kernel of a
+ * side that writes detects this. Therefore the dialling side probes a silent
+ * connection whose data matters. If the probe is not answered, the dialling
+ * side keeps the connection and dials a standby connection. If a frame arrives
+ * on the standby while the first connection is still silent, the standby
+ * replaces the first; if the first receives bytes again, the standby is closed.
+ * A peer that is stalled, or whose link is full, answers on neither connection
+ * and keeps the first.
  */
 #include "qr_peer_parts.h"
 #include "qr_socket.h"
 
 #include "io/qr_log.h"
 
-#define CONNECT_MS 1000
+#define CONNECT_TIMEOUT_MS 1000
 /*
- * The opening packet to a host that is down is lost, and the kernel sends the
- * next one a second later: a host that comes up meanwhile is found late. So a
- * process that has no connection at all dials once more beside the attempt
- * under way; the first that opens counts. The older attempt is kept, since on a
- * full link the answer may be long in coming. Only while alone, and for a
- * while: hundreds that dial each dead host so often would fill links.
+ * A SYN to a host that is down is lost, and the kernel sends the next one after
+ * 1 s, which delays the connection if the host comes up meanwhile. Therefore a
+ * process without any open connection starts a second attempt in parallel, and
+ * the attempt that opens first is used. The older attempt is kept because the
+ * answer may take long on a full link. The period is limited because hundreds
+ * of processes that dial each dead host at this rate would fill links.
  */
-#define RACE_MS 150
-#define RACE_MOST_MS 3000
-#define REDIAL_FIRST_MS 200
-#define HURRY_MS 100 /* an attempt younger than that is left alone */
-#define REDIAL_MOST_MS 2000
-#define DOUBT_AGAIN_MS 1000 /* between two such tries */
+#define PARALLEL_DIAL_MS 150
+#define PARALLEL_DIAL_PERIOD_MS 3000
+#define BACKOFF_MIN_MS 200
+#define RETRY_MIN_AGE_MS 100 /* a younger attempt is not restarted */
+#define BACKOFF_MAX_MS 2000
+#define STANDBY_RETRY_MS 1000 /* between two standby attempts */
 
 /*
- * Nothing heard for 'probe_ms': the other side is asked. No answer either by
- * 'doubt_ms': a second connection is tried. Gateways under load tell theirs
- * every 100 ms, at rest every 800; a round trip takes some 10 ms, and a lost
- * packet is sent again after 200. What we only tell goes to each gateway from
- * each engine's host, and the kernel finds most dead connections there by
- * itself in 2 s.
+ * A connection that is silent for 'probe_ms' is probed, and for 'suspect_ms' a
+ * standby connection is dialled. Gateways send their state every 100 ms under
+ * load and every 800 ms when idle; a round trip takes some 10 ms, and a lost
+ * packet is retransmitted after 200 ms. QR_PEER_SENDS is slower because each
+ * engine's host has such a connection to each gateway, and the kernel detects
+ * most dead ones within 2 s.
  */
 static const struct {
-    uint64_t probe_ms, doubt_ms;
-} cares[QR_PEER_CARE_COUNT] = {
-    [QR_PEER_RESTS] = {UINT64_MAX, UINT64_MAX},
-    [QR_PEER_TELLS] = {2000, 3000},
-    [QR_PEER_HEARS] = {500, 900},
+    uint64_t probe_ms, suspect_ms;
+} silence_limits[QR_PEER_LIVENESS_COUNT] = {
+    [QR_PEER_UNMONITORED] = {UINT64_MAX, UINT64_MAX},
+    [QR_PEER_SENDS] = {2000, 3000},
+    [QR_PEER_RECEIVES] = {500, 900},
 };
 
 void qr_peer_target_free(void *p)
@@ -55,80 +56,83 @@
     g_free(t);
 }
 
-/* No connection is open, and has not been for a short while only. */
-static bool is_alone(const QRPeerNet *p, uint64_t now_ms)
+/* No connection is open, and the period of parallel attempts has not ended. */
+static bool is_disconnected(const QRPeerNet *p, uint64_t now_ms)
 {
-    return p->open == 0 && now_ms <= p->alone_ms + RACE_MOST_MS;
+    return p->open == 0 &&
+           now_ms <= p->disconnected_ms + PARALLEL_DIAL_PERIOD_MS;
 }
 
 void qr_peer_target_lost(QRPeerTarget *t, const QRPeerConn *peer,
                          uint64_t now_ms)
 {
-    if (t->second == peer) {
-        t->second = NULL;
-        t->second_next_ms = now_ms + DOUBT_AGAIN_MS;
+    if (t->standby == peer) {
+        t->standby = NULL;
+        t->next_standby_ms = now_ms + STANDBY_RETRY_MS;
         return;
     }
-    t->peer = g_steal_pointer(&t->second);
-    if (is_alone(peer->peers, now_ms)) {
-        t->next_ms = now_ms + RACE_MS;
+    t->peer = g_steal_pointer(&t->standby);
+    if (is_disconnected(peer->peers, now_ms)) {
+        t->next_dial_ms = now_ms + PARALLEL_DIAL_MS;
         return;
     }
-    t->next_ms = now_ms + t->pause_ms;
-    t->pause_ms = MIN(t->pause_ms * 2, REDIAL_MOST_MS);
+    t->next_dial_ms = now_ms + t->backoff_ms;
+    t->backoff_ms = MIN(t->backoff_ms * 2, BACKOFF_MAX_MS);
 }
 
-void qr_peer_target_reached(QRPeerTarget *t)
+void qr_peer_target_connected(QRPeerTarget *t)
 {
-    t->pause_ms = REDIAL_FIRST_MS;
+    t->backoff_ms = BACKOFF_MIN_MS;
 }
 
-static QRPeerCare care_of(const QRPeerConn *peer)
+static QRPeerLiveness liveness_of(const QRPeerConn *peer)
 {
-    return peer->expect_ms > 0 ? QR_PEER_HEARS : peer->target->care;
+    return peer->awaiting_since_ms > 0 ? QR_PEER_RECEIVES
+                                       : peer->target->liveness;
 }
 
-uint64_t qr_peer_quiet_ms(const QRPeerConn *peer)
+uint64_t qr_peer_silent_ms(const QRPeerConn *peer)
 {
     uint64_t now = qr_clock_ms(peer->peers->loop);
 
-    return now - MIN(MAX(peer->heard_ms, peer->expect_ms), now);
+    return now - MIN(MAX(peer->received_ms, peer->awaiting_since_ms), now);
 }
 
-bool qr_peer_second_counts(QRPeerConn *second)
+bool qr_peer_promote_standby(QRPeerConn *standby)
 {
-    QRPeerTarget *t = second->target;
-    QRPeerConn *mute = t->peer;
-
-    if (qr_peer_quiet_ms(mute) < cares[care_of(mute)].doubt_ms) {
-        /* it spoke again; were it lost now, the second would take its place
-           without having been greeted */
-        qr_peer_close(second);
+    QRPeerTarget *t = standby->target;
+    QRPeerConn *silent = t->peer;
+
+    if (qr_peer_silent_ms(silent) <
+        silence_limits[liveness_of(silent)].suspect_ms) {
+        /* The first connection received bytes again. If it were lost now, the
+           standby would replace it although its Hello was not handled. */
+        qr_peer_close(standby);
         return false;
     }
     qr_logf(QR_LEVEL_WARN, "peers",
             "replaced address=%s quiet_ms=%" G_GUINT64_FORMAT, t->address,
-            qr_peer_quiet_ms(mute));
-    second->peers->replaced++;
-    t->peer = second;
-    t->second = NULL;
-    mute->target = NULL; /* the peer is not lost */
-    qr_peer_close(mute);
+            qr_peer_silent_ms(silent));
+    standby->peers->replaced++;
+    t->peer = standby;
+    t->standby = NULL;
+    silent->target = NULL; /* keeps the target from being redialled */
+    qr_peer_close(silent);
     return true;
 }
 
-/* Of two attempts to reach a target one has opened: the other goes. */
-static void race_won(QRPeerConn *peer)
+/* 'peer' has opened: closes the other attempt to the same target. */
+static void close_slower_attempt(QRPeerConn *peer)
 {
     QRPeerTarget *t = peer->target;
 
-    if (t->second == peer && !t->peer->open)
-        qr_peer_close(t->peer); /* this one takes its place */
-    else if (t->peer == peer && t->second)
-        qr_peer_close(t->second);
+    if (t->standby == peer && !t->peer->open)
+        qr_peer_close(t->peer); /* 'peer' replaces the closed attempt */
+    else if (t->peer == peer && t->standby)
+        qr_peer_close(t->standby);
 }
 
-static void peer_opened(uv_connect_t *req, int status)
+static void on_connect(uv_connect_t *req, int status)
 {
     QRPeerConn *peer = req->data;
 
@@ -138,12 +142,12 @@
         qr_peer_close(peer);
         return;
     }
-    race_won(peer);
+    close_slower_attempt(peer);
     qr_peer_start(peer);
 }
 
-/* Dials into 'slot' of the target: its connection, or the second one. */
-static void target_dial(QRPeerNet *p, QRPeerTarget *t, QRPeerConn **slot)
+/* Dials the target; 'slot' points to its 'peer' or 'standby' field. */
+static void dial_target(QRPeerNet *p, QRPeerTarget *t, QRPeerConn **slot)
 {
     struct sockaddr_in at;
     QRPeerConn *peer = qr_peer_new(p);
@@ -153,25 +157,25 @@
     *slot = peer;
     if (qr_socket_address(t->address, &at))
         rc = uv_tcp_connect(&peer->connect, &peer->tcp,
-                            (const struct sockaddr *)&at, peer_opened);
+                            (const struct sockaddr *)&at, on_connect);
     if (rc != 0)
         qr_peer_close(peer);
 }
 
-/* There is reason to think that the address answers now. */
-static void target_hurry(QRPeerTarget *t)
+/* Retries without backoff: the address probably accepts connections now. */
+static void retry_target(QRPeerTarget *t)
 {
     QRPeerNet *p;
 
-    t->next_ms = 0;
-    t->pause_ms = REDIAL_FIRST_MS;
+    t->next_dial_ms = 0;
+    t->backoff_ms = BACKOFF_MIN_MS;
     if (!t->peer || t->peer->open)
         return;
     p = t->peer->peers;
-    if (qr_clock_ms(p->loop) < t->peer->since_ms + HURRY_MS)
+    if (qr_clock_ms(p->loop) < t->peer->created_ms + RETRY_MIN_AGE_MS)
         return;
-    qr_peer_close(t->peer); /* its opening packet may have been lost */
-    t->next_ms = 0;
+    qr_peer_close(t->peer); /* its SYN may have been lost */
+    t->next_dial_ms = 0;
 }
 
 void qr_peers_dial(QRPeerNet *p, const char *address)
@@ -179,14 +183,14 @@
     QRPeerTarget *t = g_hash_table_lookup(p->targets, address);
 
     if (t) {
-        target_hurry(t);
+        retry_target(t);
         return;
     }
     t = g_new0(QRPeerTarget, 1);
     t->address = g_strdup(address);
-    t->pause_ms = REDIAL_FIRST_MS;
+    t->backoff_ms = BACKOFF_MIN_MS;
     g_hash_table_insert(p->targets, t->address, t);
-    target_dial(p, t, &t->peer);
+    dial_target(p, t, &t->peer);
 }
 
 void qr_peers_redial(QRPeerNet *p, const char *address)
@@ -198,7 +202,7 @@
     qr_peers_dial(p, address);
 }
 
-QRPeerConn *qr_peers_open_at(QRPeerNet *p, const char *address)
+QRPeerConn *qr_peers_get_open(QRPeerNet *p, const char *address)
 {
     QRPeerTarget *t;
 
@@ -210,56 +214,58 @@
     return t->peer && t->peer->open ? t->peer : NULL;
 }
 
-/* What is being dialled for too long is given up. */
-static void check_dialled(QRPeerConn *peer, uint64_t now_ms)
+/* Gives up an attempt that has not opened in time. */
+static void check_connect_timeout(QRPeerConn *peer, uint64_t now_ms)
 {
-    if (peer && !peer->open && now_ms >= peer->since_ms + CONNECT_MS)
+    if (peer && !peer->open && now_ms >= peer->created_ms + CONNECT_TIMEOUT_MS)
         qr_peer_close(peer);
 }
 
-/* An open connection that we dialled: asks, doubts, or doubts no longer. */
-static void check_quiet(QRPeerNet *p, QRPeerTarget *t, uint64_t now_ms)
+/* For an open connection: probes it and opens or closes the standby, depending
+   on how long the connection has been silent. */
+static void check_silence(QRPeerNet *p, QRPeerTarget *t, uint64_t now_ms)
 {
     QRPeerConn *peer = t->peer;
-    uint64_t quiet = qr_peer_quiet_ms(peer);
-    uint64_t probe = cares[care_of(peer)].probe_ms;
-    uint64_t doubt = cares[care_of(peer)].doubt_ms;
+    uint64_t silent_ms = qr_peer_silent_ms(peer);
+    uint64_t probe = silence_limits[liveness_of(peer)].probe_ms;
+    uint64_t suspect = silence_limits[liveness_of(peer)].suspect_ms;
 
-    if (quiet >= probe && now_ms >= peer->probed_ms + probe)
+    if (silent_ms >= probe && now_ms >= peer->probed_ms + probe)
         qr_peer_probe(peer, false);
     if (peer->closing)
         return;
-    if (quiet < doubt) {
-        if (t->second)
-            qr_peer_close(t->second);
-    } else if (!t->second && now_ms >= t->second_next_ms) {
+    if (silent_ms < suspect) {
+        if (t->standby)
+            qr_peer_close(t->standby);
+    } else if (!t->standby && now_ms >= t->next_standby_ms) {
         qr_logf(QR_LEVEL_INFO, "peers",
                 "doubted address=%s quiet_ms=%" G_GUINT64_FORMAT, t->address,
-                quiet);
-        target_dial(p, t, &t->second);
+                silent_ms);
+        dial_target(p, t, &t->standby);
     }
 }
 
-/* A connection being opened: tries once more beside it while we are alone. */
-static void check_race(QRPeerNet *p, QRPeerTarget *t, uint64_t now_ms)
+/* Starts a parallel attempt while no connection at all is open. */
+static void check_parallel_dial(QRPeerNet *p, QRPeerTarget *t, uint64_t now_ms)
 {
-    QRPeerConn *last = t->second ? t->second : t->peer;
+    QRPeerConn *last = t->standby ? t->standby : t->peer;
 
-    if (!is_alone(p, now_ms) || now_ms < last->since_ms + RACE_MS)
+    if (!is_disconnected(p, now_ms) ||
+        now_ms < last->created_ms + PARALLEL_DIAL_MS)
         return;
-    if (t->second)
-        qr_peer_close(t->second);
-    target_dial(p, t, &t->second);
+    if (t->standby)
+        qr_peer_close(t->standby);
+    dial_target(p, t, &t->standby);
 }
 
 void qr_peer_target_tick(QRPeerNet *p, QRPeerTarget *t, uint64_t now_ms)
 {
-    if (!t->peer && now_ms >= t->next_ms)
-        target_dial(p, t, &t->peer);
-    check_dialled(t->second, now_ms);
-    check_dialled(t->peer, now_ms);
+    if (!t->peer && now_ms >= t->next_dial_ms)
+        dial_target(p, t, &t->peer);
+    check_connect_timeout(t->standby, now_ms);
+    check_connect_timeout(t->peer, now_ms);
     if (t->peer && !t->peer->open)
-        check_race(p, t, now_ms);
+        check_parallel_dial(p, t, now_ms);
     if (t->peer && t->peer->open)
-        check_quiet(p, t, now_ms);
+        check_silence(p, t, now_ms);
 }
--- a/src/net/qr_peer_parts.h
+++ b/src/net/qr_peer_parts.h
@@ -1,7 +1,6 @@
 /*
- * What the parts of connections between our own processes share: connections
- * and their frames (qr_peer.c), and the addresses that are dialled
- * (qr_peer_dial.c).
+ * Structures shared by qr_peer.c (connections and their frames) and
+ * qr_peer_dial.c (dialled addresses).
  */
 #ifndef QR_PEER_PARTS_H
 #define QR_PEER_PARTS_H
@@ -13,26 +12,29 @@
 /* An address to which a connection is kept open. */
 typedef struct QRPeerTarget {
     char *address;
-    QRPeerConn *peer;   /* or NULL */
-    QRPeerConn *second; /* tried because 'peer' is mute, or not open; or NULL */
-    uint64_t next_ms, second_next_ms;
-    uint32_t pause_ms;
-    QRPeerCare care;
+    QRPeerConn *peer; /* or NULL */
+    QRPeerConn
+        *standby; /* dialled while 'peer' is silent or not open; or NULL */
+    uint64_t next_dial_ms, next_standby_ms;
+    uint32_t backoff_ms;
+    QRPeerLiveness liveness;
 } QRPeerTarget;
 
 struct QRPeerConn {
     uv_tcp_t tcp;
     uv_connect_t connect;
     QRPeerNet *peers;
-    QRPeerTarget *target; /* or NULL: the other side dialled */
-    GByteArray *in;
-    uint64_t since_ms;
-    uint64_t heard_ms;       /* when bytes came last */
-    uint64_t expect_ms;      /* since when an answer is due; 0: none is */
-    uint64_t probed_ms;      /* when the other side was asked last */
-    uint64_t frame_since_ms; /* when the frame being read began to come */
+    QRPeerTarget *target; /* NULL: accepted connection */
+    GByteArray *read_buf;
+    uint64_t created_ms;
+    uint64_t received_ms; /* when bytes last arrived */
+    uint64_t
+        awaiting_since_ms; /* when an unanswered request was sent; 0: none */
+    uint64_t probed_ms;    /* when the last probe was sent */
+    uint64_t
+        frame_start_ms; /* when the first byte of the current frame arrived */
     bool open, closing;
-    bool far; /* the other side is in another region */
+    bool cross_region; /* the other side is in another region */
     void *data;
 };
 
@@ -41,38 +43,42 @@
     uv_loop_t *loop;
     const QRPeerHandlers *handlers;
     void *owner;
-    GPtrArray *all;      /* QRPeerConn * */
-    GHashTable *targets; /* address -> QRPeerTarget */
+    GPtrArray *connections; /* QRPeerConn * */
+    GHashTable *targets;    /* address -> QRPeerTarget */
     QRTraffic traffic, traffic_logged;
-    uint64_t traffic_log_ms; /* when due next */
+    uint64_t traffic_log_ms; /* when the next traffic log line is due */
     QRTicks ticks;
-    uint64_t replaced; /* connections that had gone silent */
-    unsigned open;     /* connections */
-    uint64_t alone_ms; /* since when none is open */
+    uint64_t replaced; /* number of silent connections that were replaced */
+    unsigned open;     /* number of open connections */
+    uint64_t
+        disconnected_ms; /* when the last open connection closed, or start */
     bool closing;
 };
 
-/* A new connection, neither dialled nor accepted yet. */
+/* Creates a connection that is neither dialled nor accepted yet. */
 QRPeerConn *qr_peer_new(QRPeerNet *p);
-/* It is open: greets the other side, and reads. */
+/* Marks a connection as open, sends the Hello frame and starts reading. */
 void qr_peer_start(QRPeerConn *peer);
-/* Asks whether the other side is there, or answers that we are. */
+/* Sends a probe, or the answer to one. */
 void qr_peer_probe(QRPeerConn *peer, bool answer);
 
-/* How long nothing was heard that might have been. */
-uint64_t qr_peer_quiet_ms(const QRPeerConn *peer);
+/* Milliseconds since bytes last arrived, or since the unanswered request was
+   sent if that was later. */
+uint64_t qr_peer_silent_ms(const QRPeerConn *peer);
 
 void qr_peer_target_free(void *target);
-/* The target has one connection less. */
+/* Clears 'peer' from the target and schedules the next attempt. */
 void qr_peer_target_lost(QRPeerTarget *t, const QRPeerConn *peer,
                          uint64_t now_ms);
-/* A connection that was dialled is open: the next one is dialled soon. */
-void qr_peer_target_reached(QRPeerTarget *t);
+/* Resets the backoff after a dialled connection opened. */
+void qr_peer_target_connected(QRPeerTarget *t);
 /*
- * The second connection to a target is answered. If the first is still mute,
- * that is dead. Returns whether the second counts now.
+ * Called when a frame arrives on the standby connection of a target. Replaces
+ * the first connection if that is still silent and returns true; otherwise
+ * closes the standby connection and returns false.
  */
-bool qr_peer_second_counts(QRPeerConn *second);
+bool qr_peer_promote_standby(QRPeerConn *standby);
+/* Dials, probes and gives up connections to one target as they are due. */
 void qr_peer_target_tick(QRPeerNet *p, QRPeerTarget *t, uint64_t now_ms);
 
 #endif
--- a/src/net/qr_socket.c
+++ b/src/net/qr_socket.c
@@ -1,5 +1,5 @@
 /*
- * Small helpers for TCP on a libuv loop.
+ * Helpers for TCP sockets on a libuv loop.
  */
 #include "qr_socket.h"
 
@@ -10,7 +10,7 @@
 #include <sys/ioctl.h>
 #include <sys/socket.h>
 
-#define READ_BYTES 65536
+#define READ_BUFFER_BYTES 65536
 
 typedef struct PendingWrite {
     uv_write_t req;
@@ -19,7 +19,7 @@
 
 static void write_done(uv_write_t *req, int status)
 {
-    (void)status; /* the reader sees the break */
+    (void)status; /* the read callback reports a broken connection */
     g_free(req);
 }
 
@@ -48,17 +48,17 @@
     return sent;
 }
 
-void qr_socket_tune(uv_tcp_t *tcp, unsigned silent_ms)
+void qr_socket_tune(uv_tcp_t *tcp, unsigned timeout_ms)
 {
     uv_os_fd_t fd;
 
     uv_tcp_nodelay(tcp, 1);
     if (uv_fileno((uv_handle_t *)tcp, &fd) == 0)
-        setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &silent_ms,
-                   sizeof(silent_ms));
+        setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &timeout_ms,
+                   sizeof(timeout_ms));
 }
 
-bool qr_socket_ended(const uv_tcp_t *tcp)
+bool qr_socket_closed_by_peer(const uv_tcp_t *tcp)
 {
     uv_os_fd_t fd;
     char byte;
@@ -74,13 +74,14 @@
 
     if (uv_fileno((const uv_handle_t *)tcp, &fd) != 0 ||
         ioctl(fd, SIOCOUTQ, &bytes) != 0 || bytes < 0)
-        return 0; /* not known: other signs of a dead connection remain */
+        return 0; /* unknown: a dead connection is also detected by other means
+                   */
     return (size_t)bytes;
 }
 
 void qr_socket_buffer(uv_handle_t *handle, size_t suggested, uv_buf_t *buf)
 {
-    static __thread char data[READ_BYTES];
+    static __thread char data[READ_BUFFER_BYTES];
 
     (void)handle;
     (void)suggested;
--- a/src/net/qr_socket.h
+++ b/src/net/qr_socket.h
@@ -1,5 +1,5 @@
 /*
- * Small helpers for TCP on a libuv loop.
+ * Helpers for TCP sockets on a libuv loop.
  */
 #ifndef QR_SOCKET_H
 #define QR_SOCKET_H
@@ -9,22 +9,25 @@
 #include <uv.h>
 
 /*
- * Writes now what the kernel takes and queues a copy of the rest. Returns a
- * negative libuv error if the connection is broken.
+ * Writes as much as the kernel accepts and queues a copy of the rest. Returns
+ * 0, or a negative libuv error if the connection is broken.
  */
 int qr_socket_write(uv_tcp_t *tcp, const void *data, size_t len);
-/* No delay; a peer that is silent for 'silent_ms' breaks the connection. */
-void qr_socket_tune(uv_tcp_t *tcp, unsigned silent_ms);
+/* Disables Nagle's algorithm. The connection breaks if sent bytes remain
+   unacknowledged for 'timeout_ms'. */
+void qr_socket_tune(uv_tcp_t *tcp, unsigned timeout_ms);
 /*
- * Whether the peer ended the connection in order. libuv reports a reset that
- * comes right behind data as an end of file.
+ * Whether the peer closed the connection with FIN rather than a reset. libuv
+ * reports a reset that directly follows data as an end of file.
  */
-bool qr_socket_ended(const uv_tcp_t *tcp);
-/* Bytes given to the kernel that the peer's has not acknowledged. */
+bool qr_socket_closed_by_peer(const uv_tcp_t *tcp);
+/* Bytes passed to the kernel that the peer's kernel has not acknowledged; 0 if
+   unknown. */
 size_t qr_socket_unacked(const uv_tcp_t *tcp);
-/* One buffer for all reads of a thread: data is consumed before the next. */
+/* Allocation callback for uv_read_start(). All reads of a thread share one
+   buffer, which the read callback must consume before it returns. */
 void qr_socket_buffer(uv_handle_t *handle, size_t suggested, uv_buf_t *buf);
-/* "ip:port" as a socket address; false if it is none. */
+/* Parses "ip:port" (IPv4); returns false if 'text' is not a valid address. */
 bool qr_socket_address(const char *text, struct sockaddr_in *out);
 
 #endif
--- a/src/net/qr_ticks.c
+++ b/src/net/qr_ticks.c
@@ -1,12 +1,12 @@
 /*
- * Whether a loop stood still between two of its ticks.
+ * Detects that a loop was stalled between two of its ticks.
  */
 #include "qr_ticks.h"
 
-uint64_t qr_ticks_stood_still(QRTicks *t, uint64_t now_ms, uint64_t most_ms)
+uint64_t qr_ticks_stall_ms(QRTicks *t, uint64_t now_ms, uint64_t max_gap_ms)
 {
     uint64_t gap = t->last_ms > 0 ? now_ms - MIN(t->last_ms, now_ms) : 0;
 
     t->last_ms = MAX(now_ms, 1);
-    return gap > most_ms ? gap : 0;
+    return gap > max_gap_ms ? gap : 0;
 }
--- a/src/net/qr_ticks.h
+++ b/src/net/qr_ticks.h
@@ -1,7 +1,8 @@
 /*
- * Whether a loop stood still between two of its ticks. A loop runs its timers
- * before it reads: whoever spoke meanwhile would be taken for silent, so what
- * judges by time first lets it read.
+ * Detects that a loop was stalled between two of its ticks. A loop runs its
+ * timers before it reads sockets, so a peer that sent data during the stall
+ * would be taken for silent. Timeouts are therefore checked after the loop has
+ * read.
  */
 #ifndef QR_TICKS_H
 #define QR_TICKS_H
@@ -9,11 +10,11 @@
 #include "base/qr_base.h"
 
 typedef struct QRTicks {
-    uint64_t last_ms; /* 0: none yet */
+    uint64_t last_ms; /* 0: no tick yet */
 } QRTicks;
 
-/* Notes a tick. Returns the ms since the last one if they are more than
-   'most_ms', else 0. */
-uint64_t qr_ticks_stood_still(QRTicks *t, uint64_t now_ms, uint64_t most_ms);
+/* Records a tick. Returns the milliseconds since the previous tick if they
+   exceed 'max_gap_ms', else 0. */
+uint64_t qr_ticks_stall_ms(QRTicks *t, uint64_t now_ms, uint64_t max_gap_ms);
 
 #endif
--- a/src/net/qr_traffic.c
+++ b/src/net/qr_traffic.c
@@ -1,5 +1,5 @@
 /*
- * Bytes sent between our own processes, by kind of frame.
+ * Counts bytes sent between quayring processes, by kind of frame.
  */
 #include "qr_traffic.h"
 
@@ -11,7 +11,7 @@
 #undef X
 };
 
-/* The cases of the protocol count from 1. */
+/* The values of body_case start at 1, those of QRFrameKind at 0. */
 static QRFrameKind kind_of(const Qr__Fleet__Frame *frame)
 {
 #define X(upper, lower)                                                        \
@@ -22,26 +22,26 @@
     return (QRFrameKind)(frame->body_case - 1);
 }
 
-void qr_traffic_add(QRTraffic *t, const Qr__Fleet__Frame *frame, bool far,
-                    size_t bytes)
+void qr_traffic_add(QRTraffic *t, const Qr__Fleet__Frame *frame,
+                    bool cross_region, size_t bytes)
 {
-    if (far)
-        t->far[kind_of(frame)] += bytes;
+    if (cross_region)
+        t->cross_region[kind_of(frame)] += bytes;
     else
-        t->near[kind_of(frame)] += bytes;
+        t->in_region[kind_of(frame)] += bytes;
 }
 
-uint64_t qr_traffic_sum(const QRTraffic *t)
+uint64_t qr_traffic_total(const QRTraffic *t)
 {
     uint64_t sum = 0;
 
     for (unsigned i = 0; i < QR_FRAME_KIND_COUNT; i++)
-        sum += t->near[i] + t->far[i];
+        sum += t->in_region[i] + t->cross_region[i];
     return sum;
 }
 
-static void text_row(GString *out, unsigned kind, const char *reach,
-                     uint64_t bytes)
+static void append_metric(GString *out, unsigned kind, const char *reach,
+                          uint64_t bytes)
 {
     if (bytes == 0)
         return;
@@ -51,11 +51,11 @@
                            kind_names[kind], reach, bytes);
 }
 
-void qr_traffic_text(const QRTraffic *t, GString *out)
+void qr_traffic_append_metrics(const QRTraffic *t, GString *out)
 {
     for (unsigned i = 0; i < QR_FRAME_KIND_COUNT; i++) {
-        text_row(out, i, "region", t->near[i]);
-        text_row(out, i, "far", t->far[i]);
+        append_metric(out, i, "region", t->in_region[i]);
+        append_metric(out, i, "far", t->cross_region[i]);
     }
 }
 
@@ -64,15 +64,15 @@
     g_autoptr(GString) line = g_string_new("sent bytes");
 
     for (unsigned i = 0; i < QR_FRAME_KIND_COUNT; i++) {
-        uint64_t near = t->near[i] - before->near[i];
-        uint64_t far = t->far[i] - before->far[i];
+        uint64_t in_region = t->in_region[i] - before->in_region[i];
+        uint64_t cross_region = t->cross_region[i] - before->cross_region[i];
 
-        if (near > 0)
+        if (in_region > 0)
             g_string_append_printf(line, " %s=%" G_GUINT64_FORMAT,
-                                   kind_names[i], near);
-        if (far > 0)
+                                   kind_names[i], in_region);
+        if (cross_region > 0)
             g_string_append_printf(line, " %s_far=%" G_GUINT64_FORMAT,
-                                   kind_names[i], far);
+                                   kind_names[i], cross_region);
     }
     *before = *t;
     qr_logf(QR_LEVEL_INFO, "peers", "%s", line->str);
--- a/src/net/qr_traffic.h
+++ b/src/net/qr_traffic.h
@@ -1,6 +1,6 @@
 /*
- * Bytes sent between our own processes, by kind of frame and by whether they
- * cross regions: what fills a link is to be seen in metrics and in the log.
+ * Counts bytes sent between quayring processes, by kind of frame and by whether
+ * they cross regions. Metrics and logs show which kind of frame fills a link.
  */
 #ifndef QR_TRAFFIC_H
 #define QR_TRAFFIC_H
@@ -10,7 +10,8 @@
 #include <glib.h>
 #include <stdbool.h>
 
-/* Kinds of frames: name in metrics and logs. In the order of the protocol. */
+/* Kinds of frames: enum suffix and name in metrics and logs. The order is that
+   of Frame.body in the protocol. */
 #define QR_FRAME_KINDS(X)                                                      \
     X(HELLO, hello)                                                            \
     X(MEMBERS, members)                                                        \
@@ -33,16 +34,16 @@
 } QRFrameKind;
 
 typedef struct QRTraffic {
-    uint64_t near[QR_FRAME_KIND_COUNT]; /* bytes, inside the region */
-    uint64_t far[QR_FRAME_KIND_COUNT];  /* bytes, to other regions */
+    uint64_t in_region[QR_FRAME_KIND_COUNT];    /* bytes, inside the region */
+    uint64_t cross_region[QR_FRAME_KIND_COUNT]; /* bytes, to other regions */
 } QRTraffic;
 
-void qr_traffic_add(QRTraffic *t, const Qr__Fleet__Frame *frame, bool far,
-                    size_t bytes);
-uint64_t qr_traffic_sum(const QRTraffic *t);
-/* Appends metrics, one line a kind and reach. */
-void qr_traffic_text(const QRTraffic *t, GString *out);
-/* Logs what was sent since 'before', and takes the counts over there. */
+void qr_traffic_add(QRTraffic *t, const Qr__Fleet__Frame *frame,
+                    bool cross_region, size_t bytes);
+uint64_t qr_traffic_total(const QRTraffic *t);
+/* Appends one metrics line per kind and reach; zero counts are left out. */
+void qr_traffic_append_metrics(const QRTraffic *t, GString *out);
+/* Logs the bytes sent since 'before' and copies the counts to 'before'. */
 void qr_traffic_log(const QRTraffic *t, QRTraffic *before);
 
 #endif
--- a/src/net/qr_whole.c
+++ b/src/net/qr_whole.c
@@ -1,90 +1,91 @@
 /*
- * A request whose answer is kept until it is whole, and handed over at once.
+ * An HTTP request whose answer is buffered and passed on when it is complete.
  */
 #include "qr_whole.h"
 
-#define ANSWER_MAX (8u << 20)
+#define ANSWER_MAX_BYTES (8u << 20)
 
-struct QRWhole {
+struct QRBufferedCall {
     QRClientCall *call;
-    QRWholeDone done;
+    QRBufferedDone done;
     void *owner;
     unsigned ref, status;
     QRHeaders headers;
     GByteArray *body;
 };
 
-static void whole_free(QRWhole *w)
+static void call_free(QRBufferedCall *b)
 {
-    g_byte_array_unref(w->body);
-    qr_headers_clear(&w->headers);
-    g_free(w);
+    g_byte_array_unref(b->body);
+    qr_headers_clear(&b->headers);
+    g_free(b);
 }
 
-static void whole_head(void *owner, QRClientCall *call, unsigned status,
-                       const QRHeaders *headers)
+static void on_head(void *owner, QRClientCall *call, unsigned status,
+                    const QRHeaders *headers)
 {
-    QRWhole *w = owner;
+    QRBufferedCall *b = owner;
 
     (void)call;
-    w->status = status;
-    qr_headers_copy(&w->headers, headers);
+    b->status = status;
+    qr_headers_copy(&b->headers, headers);
 }
 
-static void whole_over(QRWhole *w, QRWholeAnswer *answer)
+static void finish_call(QRBufferedCall *b, QRBufferedAnswer *answer)
 {
-    QRWholeDone done = w->done;
-    void *owner = w->owner;
-    unsigned ref = w->ref;
+    QRBufferedDone done = b->done;
+    void *owner = b->owner;
+    unsigned ref = b->ref;
 
-    w->call = NULL;
-    answer->received = w->body->len;
+    b->call = NULL;
+    answer->received = b->body->len;
     if (answer->status == 0)
-        qr_headers_reset(&w->headers);
-    answer->headers = &w->headers;
+        qr_headers_reset(&b->headers);
+    answer->headers = &b->headers;
     done(owner, ref, answer);
-    whole_free(w);
+    call_free(b);
 }
 
-static void whole_body(void *owner, QRClientCall *call, const char *data,
-                       size_t len)
+static void on_body(void *owner, QRClientCall *call, const char *data,
+                    size_t len)
 {
-    QRWhole *w = owner;
-    QRWholeAnswer answer = {.maybe_done = true, .why = "answer too large"};
+    QRBufferedCall *b = owner;
+    QRBufferedAnswer answer = {.maybe_executed = true,
+                               .error = "answer too large"};
 
-    g_byte_array_append(w->body, (const guint8 *)data, (guint)len);
-    if (w->body->len <= ANSWER_MAX)
+    g_byte_array_append(b->body, (const guint8 *)data, (guint)len);
+    if (b->body->len <= ANSWER_MAX_BYTES)
         return;
     qr_client_cancel(call);
-    whole_over(w, &answer);
+    finish_call(b, &answer);
 }
 
-static void whole_end(void *owner, QRClientCall *call)
+static void on_end(void *owner, QRClientCall *call)
 {
-    QRWhole *w = owner;
-    QRWholeAnswer answer = {.status = w->status,
-                            .data = (const char *)w->body->data,
-                            .len = w->body->len};
+    QRBufferedCall *b = owner;
+    QRBufferedAnswer answer = {.status = b->status,
+                               .data = (const char *)b->body->data,
+                               .len = b->body->len};
 
     (void)call;
-    whole_over(w, &answer);
+    finish_call(b, &answer);
 }
 
-static void whole_failed(void *owner, QRClientCall *call, QRCallFault fault,
-                         const char *why)
+static void on_failed(void *owner, QRClientCall *call, QRCallFault fault,
+                      const char *why)
 {
-    QRWhole *w = owner;
-    QRWholeAnswer answer = {.maybe_done = fault != QR_CALL_FAULT_UNSENT,
-                            .why = why};
+    QRBufferedCall *b = owner;
+    QRBufferedAnswer answer = {.maybe_executed = fault != QR_CALL_FAULT_UNSENT,
+                               .error = why};
 
     (void)call;
-    whole_over(w, &answer);
+    finish_call(b, &answer);
 }
 
-static const QRClientHandlers whole_handlers = {whole_head, whole_body,
-                                                whole_end, whole_failed};
+static const QRClientHandlers call_handlers = {on_head, on_body, on_end,
+                                               on_failed};
 
-static GString *request_text(const QRWholeRequest *r)
+static GString *request_text(const QRBufferedRequest *r)
 {
     GString *text = g_string_sized_new(256 + r->body_len);
 
@@ -100,37 +101,38 @@
     return text;
 }
 
-QRWhole *qr_whole_send(QRClient *client, const QRWholeRequest *request,
-                       QRWholeDone done, void *owner, unsigned ref)
+QRBufferedCall *qr_buffered_send(QRClient *client,
+                                 const QRBufferedRequest *request,
+                                 QRBufferedDone done, void *owner, unsigned ref)
 {
     g_autoptr(GString) text = request_text(request);
-    QRWhole *w = g_new0(QRWhole, 1);
+    QRBufferedCall *b = g_new0(QRBufferedCall, 1);
     QRClientRequest r = {0};
 
-    w->done = done;
-    w->owner = owner;
-    w->ref = ref;
-    w->body = g_byte_array_new();
-    qr_headers_init(&w->headers);
+    b->done = done;
+    b->owner = owner;
+    b->ref = ref;
+    b->body = g_byte_array_new();
+    qr_headers_init(&b->headers);
     r.address = request->address;
     r.data = text->str;
     r.len = text->len;
     r.connect_ms = request->connect_ms;
     r.timeout_ms = request->timeout_ms;
     r.pause_ms = request->pause_ms;
-    w->call = qr_client_send(client, &r, &whole_handlers, w);
-    return w;
+    b->call = qr_client_send(client, &r, &call_handlers, b);
+    return b;
 }
 
-bool qr_whole_began(const QRWhole *w)
+bool qr_buffered_has_head(const QRBufferedCall *b)
 {
-    return w->status != 0;
+    return b->status != 0;
 }
 
-void qr_whole_cancel(QRWhole *w)
+void qr_buffered_cancel(QRBufferedCall *b)
 {
-    if (!w)
+    if (!b)
         return;
-    qr_client_cancel(w->call);
-    whole_free(w);
+    qr_client_cancel(b->call);
+    call_free(b);
 }
--- a/src/net/qr_whole.h
+++ b/src/net/qr_whole.h
@@ -1,40 +1,44 @@
 /*
- * A request whose answer is kept until it is whole, and handed over at once.
+ * An HTTP request whose answer is buffered and passed on when it is complete.
  */
 #ifndef QR_WHOLE_H
 #define QR_WHOLE_H
 
 #include "qr_client.h"
 
-typedef struct QRWhole QRWhole;
+typedef struct QRBufferedCall QRBufferedCall;
 
-typedef struct QRWholeAnswer {
-    unsigned status; /* 0: no whole answer came */
-    bool maybe_done; /* of status 0: the peer may have acted on it */
+typedef struct QRBufferedAnswer {
+    unsigned status;     /* 0: no complete answer arrived */
+    bool maybe_executed; /* if status is 0: the peer may have acted */
     const char *data;
     size_t len;
-    const char *why;          /* of status 0 */
-    size_t received;          /* bytes of the body that came, whole or not */
-    const QRHeaders *headers; /* of status 0: empty */
-} QRWholeAnswer;
+    const char *error; /* if status is 0: what went wrong */
+    size_t received;   /* bytes of the body that arrived, even if incomplete */
+    const QRHeaders *headers; /* empty if status is 0 */
+} QRBufferedAnswer;
 
-/* 'ref' is what qr_whole_send() was given. The request is over. */
-typedef void (*QRWholeDone)(void *owner, unsigned ref,
-                            const QRWholeAnswer *answer);
+/* The request has ended and its handle is freed after the call; 'answer' is
+   valid during the call only. 'ref' is that of qr_buffered_send(). */
+typedef void (*QRBufferedDone)(void *owner, unsigned ref,
+                               const QRBufferedAnswer *answer);
 
-typedef struct QRWholeRequest {
+typedef struct QRBufferedRequest {
     const char *address, *method, *path; /* address: "ip:port" */
     const char *content_type;            /* of the body, or NULL */
     const void *body;                    /* NULL: none */
     size_t body_len;
     uint32_t connect_ms, timeout_ms, pause_ms; /* as in QRClientRequest */
-} QRWholeRequest;
+} QRBufferedRequest;
 
-QRWhole *qr_whole_send(QRClient *client, const QRWholeRequest *request,
-                       QRWholeDone done, void *owner, unsigned ref);
-/* Whether the head of the answer has come. */
-bool qr_whole_began(const QRWhole *w);
-/* 'done' is not called. NULL is allowed. */
-void qr_whole_cancel(QRWhole *w);
+/* Starts a request. The content of 'request' is copied; 'owner' is borrowed. */
+QRBufferedCall *qr_buffered_send(QRClient *client,
+                                 const QRBufferedRequest *request,
+                                 QRBufferedDone done, void *owner,
+                                 unsigned ref);
+/* Whether the head of the answer has arrived. */
+bool qr_buffered_has_head(const QRBufferedCall *b);
+/* Cancels and frees the request without calling 'done'. NULL is allowed. */
+void qr_buffered_cancel(QRBufferedCall *b);
 
 #endif
--- a/src/sidecar/qr_pieces.c
+++ b/src/sidecar/qr_pieces.c
@@ -102,7 +102,7 @@
     return true;
 }
 
-static void origin_done(void *owner, unsigned index, const QRWholeAnswer *a)
+static void origin_done(void *owner, unsigned index, const QRBufferedAnswer *a)
 {
     QRTarget *t = owner;
     QRPiece *p = qr_piece(t, index);
@@ -119,7 +119,7 @@
     qr_logf(QR_LEVEL_WARN, "weights",
             "origin failed index=%d status=%u why=%s version=%" G_GUINT64_FORMAT
             " rest_ms=%" G_GUINT64_FORMAT,
-            (int)index, a->status, a->why ? a->why : "-", t->version, rest);
+            (int)index, a->status, a->error ? a->error : "-", t->version, rest);
     p->asked = false;
     p->asked_ms = qr_sidecar_now(t->sidecar);
     t->sidecar->origin_next_ms = p->asked_ms + MAX(ORIGIN_AGAIN_MS, rest);
@@ -153,7 +153,7 @@
 {
     QRSidecar *s = t->sidecar;
     g_autofree char *path = NULL;
-    QRWholeRequest r = {0};
+    QRBufferedRequest r = {0};
 
     if (!origin_address(s) || now < s->origin_next_ms ||
         qr_pieces_from_origin(s) >= ORIGIN_AT_ONCE)
@@ -167,7 +167,7 @@
     r.connect_ms = CONNECT_MS;
     r.timeout_ms = ORIGIN_TIMEOUT_MS;
     qr_piece(t, index)->fetch =
-        qr_whole_send(s->to_origin, &r, origin_done, t, index);
+        qr_buffered_send(s->to_origin, &r, origin_done, t, index);
 }
 
 /* The source that was asked, or dialled, gave nothing: the next one. */
@@ -215,7 +215,7 @@
     frame.body_case = QR__FLEET__FRAME__BODY_WANT;
     frame.want = &want;
     qr_peer_send(peer, &frame);
-    qr_peer_expect(peer);
+    qr_peer_expect_answer(peer);
     p->asked = true;
     p->asked_on = peer;
     p->heard = p->pending = false;
--- a/src/sidecar/qr_sidecar.c
+++ b/src/sidecar/qr_sidecar.c
@@ -107,7 +107,7 @@
         qr_sidecar_tell_state(s, true);
 }
 
-static void report_done(void *owner, unsigned ref, const QRWholeAnswer *a)
+static void report_done(void *owner, unsigned ref, const QRBufferedAnswer *a)
 {
     QRSidecar *s = owner;
     QREngineReport new = {0};
@@ -138,7 +138,7 @@
 static void report_ask(QRSidecar *s, uint64_t now)
 {
     g_autofree char *path = s->platform->report_path();
-    QRWholeRequest r = {0};
+    QRBufferedRequest r = {0};
 
     r.address = s->set->engine;
     r.method = "GET";
@@ -147,7 +147,7 @@
     r.timeout_ms = REPORT_TIMEOUT_MS;
     s->report_next_ms = now + (s->switching ? REPORT_BUSY_MS : REPORT_MS);
     s->report_asked_ms = now;
-    s->report_call = qr_whole_send(s->to_engine, &r, report_done, s, 0);
+    s->report_call = qr_buffered_send(s->to_engine, &r, report_done, s, 0);
 }
 
 static void operator_record(void *owner, const QRStoreRecord *r)
@@ -218,7 +218,7 @@
 {
     QRSidecar *s = timer->data;
     uint64_t now = qr_sidecar_now(s);
-    uint64_t gap = qr_ticks_stood_still(&s->ticks, now, STOOD_STILL_MS);
+    uint64_t gap = qr_ticks_stall_ms(&s->ticks, now, STOOD_STILL_MS);
 
     if (gap > 0) {
         qr_logf(QR_LEVEL_WARN, "sidecar", "stood still ms=%" G_GUINT64_FORMAT,
@@ -282,7 +282,7 @@
         s->origin_bytes, s->peer_pieces, s->orders, s->report.version,
         qr_sidecar_newest(s), s->slots.granted, s->slots.denied,
         s->slots.yielded, s->slots.paced, s->slots.rested);
-    qr_traffic_text(qr_peers_traffic(s->peers), text);
+    qr_traffic_append_metrics(qr_peers_traffic(s->peers), text);
     qr_exchange_reply(x, 200, NULL, text->str, text->len);
 }
 
@@ -358,8 +358,8 @@
 static void sidecar_clear(QRSidecar *s)
 {
     qr_weights_clear(s);
-    qr_whole_cancel(s->report_call);
-    qr_whole_cancel(s->order_call);
+    qr_buffered_cancel(s->report_call);
+    qr_buffered_cancel(s->order_call);
     qr_follower_free(s->follow_operator);
     qr_client_close(s->to_engine);
     qr_client_close(s->to_origin);
--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -43,8 +43,8 @@
     uint64_t dial_ms;        /* since when the peer is dialled for it; 0: not */
     char *source;            /* name of the peer asked */
     const void *asked_on;    /* its connection; not owned, may be closed */
-    QRWhole *fetch;          /* from the origin */
-    QRWhole *stage;          /* put or read back */
+    QRBufferedCall *fetch;   /* from the origin */
+    QRBufferedCall *stage;   /* put or read back */
     bool reading;            /* 'stage' reads */
 } QRPiece;
 
@@ -100,7 +100,7 @@
     bool report_unreadable; /* the last one; told once */
     bool reachable;         /* the engine answered its last report */
     uint64_t report_ms, report_next_ms, report_asked_ms;
-    QRWhole *report_call;
+    QRBufferedCall *report_call;
     QRSlots slots;
     /* weights */
     char *model;
@@ -117,7 +117,7 @@
     uint64_t origin_used_ms; /* it last answered; 0: nothing rests open */
     double window;           /* pieces that may be on their way to us at once */
     /* the order */
-    QRWhole *order_call;
+    QRBufferedCall *order_call;
     uint64_t order_next_ms, order_answered_ms;
     uint64_t ordered_version;
     bool switching;        /* gateways were told that an order is coming, it is
--- a/src/sidecar/qr_sidecar_peers.c
+++ b/src/sidecar/qr_sidecar_peers.c
@@ -49,7 +49,7 @@
     frame.body_case = QR__FLEET__FRAME__BODY_HELLO;
     frame.hello = &hello;
     s->followed = peer;
-    qr_peer_care(peer, QR_PEER_HEARS);
+    qr_peer_set_liveness(peer, QR_PEER_RECEIVES);
     unlist_all(s); /* it will say who is there */
     qr_peer_send(peer, &frame);
 }
@@ -119,7 +119,7 @@
     QRFleetMember *member = qr_members_get(&s->members, h->name);
 
     qr_peer_set_data(peer, member);
-    qr_peer_set_far(peer, g_strcmp0(h->region, s->set->region) != 0);
+    qr_peer_set_cross_region(peer, g_strcmp0(h->region, s->set->region) != 0);
     if (member && !qr_peer_dialled(peer))
         qr_peer_close_older(peer);
     if (news)
@@ -129,7 +129,7 @@
         return;
     qr_logf(QR_LEVEL_INFO, "members", "gateway reached name=%s", member->name);
     g_ptr_array_add(s->gateways, peer);
-    qr_peer_care(peer, QR_PEER_TELLS);
+    qr_peer_set_liveness(peer, QR_PEER_SENDS);
     if (s->report_ms)
         state_send(s, peer);
 }
@@ -242,7 +242,7 @@
     g_ptr_array_remove_fast(s->gateways, peer);
     if (s->followed == peer) {
         s->followed = NULL;
-        qr_peer_care(peer, QR_PEER_TELLS);
+        qr_peer_set_liveness(peer, QR_PEER_SENDS);
     }
     if (member && strcmp(member->role, QR_ROLE_GATEWAY) == 0) {
         qr_logf(QR_LEVEL_INFO, "members", "gateway lost name=%s", member->name);
@@ -273,5 +273,5 @@
 
 QRPeerConn *qr_sidecar_peer_at(QRSidecar *s, const char *address)
 {
-    return qr_peers_open_at(s->peers, address);
+    return qr_peers_get_open(s->peers, address);
 }
--- a/src/sidecar/qr_stage.c
+++ b/src/sidecar/qr_stage.c
@@ -20,7 +20,8 @@
 #define SWITCH_MARGIN_MS 1200 /* before the bound, the last one is ordered */
 
 /* What was read back is right: it lies at the engine, and is here too. */
-static void piece_read_back(QRTarget *t, unsigned index, const QRWholeAnswer *a)
+static void piece_read_back(QRTarget *t, unsigned index,
+                            const QRBufferedAnswer *a)
 {
     QRPiece *p = qr_piece(t, index);
     char digest[QR_SHA_HEX] = "";
@@ -42,7 +43,7 @@
     }
 }
 
-static void stage_done(void *owner, unsigned index, const QRWholeAnswer *a)
+static void stage_done(void *owner, unsigned index, const QRBufferedAnswer *a)
 {
     QRTarget *t = owner;
     QRPiece *p = qr_piece(t, index);
@@ -69,7 +70,7 @@
     QRSidecar *s = t->sidecar;
     QRPiece *p = qr_piece(t, index);
     g_autofree char *path = s->platform->stage_path(s->model, index, put);
-    QRWholeRequest r = {0};
+    QRBufferedRequest r = {0};
     gsize len = 0;
 
     r.address = s->set->engine;
@@ -80,7 +81,7 @@
     r.connect_ms = CONNECT_MS;
     r.timeout_ms = STAGE_TIMEOUT_MS;
     p->reading = !put;
-    p->stage = qr_whole_send(s->to_engine, &r, stage_done, t, index);
+    p->stage = qr_buffered_send(s->to_engine, &r, stage_done, t, index);
     if (put)
         s->staged_version = t->version;
 }
@@ -171,7 +172,7 @@
     return t->scanned;
 }
 
-static void order_done(void *owner, unsigned ref, const QRWholeAnswer *a)
+static void order_done(void *owner, unsigned ref, const QRBufferedAnswer *a)
 {
     QRSidecar *s = owner;
 
@@ -185,7 +186,7 @@
             "start version=%" G_GUINT64_FORMAT
             " status=%u sequence=%" G_GUINT64_FORMAT " why=%s",
             s->ordered_version, a->status, s->report.sequence,
-            a->why ? a->why : "-");
+            a->error ? a->error : "-");
     if (a->status == 202 || a->status == 200 || a->status == 0)
         return; /* without an answer it may have been taken: the report tells */
     s->switching = false;
@@ -233,7 +234,7 @@
     g_autofree char *path = s->platform->order_path();
     g_autofree char *body = s->platform->start_order(s->model, t->version,
                                                      s->report.sequence, true);
-    QRWholeRequest r = {0};
+    QRBufferedRequest r = {0};
 
     r.address = s->set->engine;
     r.method = "POST";
@@ -245,7 +246,7 @@
     r.timeout_ms = ORDER_TIMEOUT_MS;
     s->announced_ms = 0;
     s->ordered_version = t->version;
-    s->order_call = qr_whole_send(s->to_engine, &r, order_done, s, 0);
+    s->order_call = qr_buffered_send(s->to_engine, &r, order_done, s, 0);
 }
 
 /* An engine that is of no use as it is starts at once; the others in turn. */
--- a/src/sidecar/qr_weights.c
+++ b/src/sidecar/qr_weights.c
@@ -12,8 +12,8 @@
 {
     QRPiece *piece = p;
 
-    qr_whole_cancel(piece->fetch);
-    qr_whole_cancel(piece->stage);
+    qr_buffered_cancel(piece->fetch);
+    qr_buffered_cancel(piece->stage);
     g_clear_pointer(&piece->data, g_bytes_unref);
     g_free(piece->source);
 }
--- a/tests/unit_fleet.c
+++ b/tests/unit_fleet.c
@@ -110,10 +110,10 @@
 {
     QRTicks t = {0};
 
-    ck_assert_uint_eq(qr_ticks_stood_still(&t, 5000, 150), 0);
-    ck_assert_uint_eq(qr_ticks_stood_still(&t, 5150, 150), 0);
-    ck_assert_uint_eq(qr_ticks_stood_still(&t, 5301, 150), 151);
-    ck_assert_uint_eq(qr_ticks_stood_still(&t, 5321, 150), 0);
+    ck_assert_uint_eq(qr_ticks_stall_ms(&t, 5000, 150), 0);
+    ck_assert_uint_eq(qr_ticks_stall_ms(&t, 5150, 150), 0);
+    ck_assert_uint_eq(qr_ticks_stall_ms(&t, 5301, 150), 151);
+    ck_assert_uint_eq(qr_ticks_stall_ms(&t, 5321, 150), 0);
 }
 END_TEST
 
