--- a/src/fleet/qr_follower.h
+++ b/src/fleet/qr_follower.h
@@ -6,7 +6,7 @@
 #ifndef QR_FOLLOWER_H
 #define QR_FOLLOWER_H
 
-#include "net/qr_whole.h"
+#include "net/qr_buffered_call.h"
 #include "qr_platform.h"
 
 typedef struct QRFollowerHandlers {
--- a/src/net/qr_whole.c
+++ b/src/net/qr_buffered_call.c
@@ -1,7 +1,7 @@
 /*
  * An HTTP request whose answer is buffered and passed on when it is complete.
  */
-#include "qr_whole.h"
+#include "qr_buffered_call.h"
 
 #define ANSWER_MAX_BYTES (8u << 20)
 
--- a/src/net/qr_whole.h
+++ b/src/net/qr_buffered_call.h
@@ -1,8 +1,8 @@
 /*
  * An HTTP request whose answer is buffered and passed on when it is complete.
  */
-#ifndef QR_WHOLE_H
-#define QR_WHOLE_H
+#ifndef QR_BUFFERED_CALL_H
+#define QR_BUFFERED_CALL_H
 
 #include "qr_client.h"
 
--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -15,7 +15,7 @@
 #include "net/qr_peer.h"
 #include "net/qr_server.h"
 #include "net/qr_ticks.h"
-#include "net/qr_whole.h"
+#include "net/qr_buffered_call.h"
 #include "qr_pace.h"
 #include "qr_progress.h"
 #include "fleet/qr_slots.h"
