--- a/src/fleet/qr_follower.c
+++ b/src/fleet/qr_follower.c
@@ -28,7 +28,7 @@
     char *address;
     const QRFollowerHandlers *handlers;
     void *owner;
-    QRWhole *request;
+    QRBufferedCall *request;
     bool listing;    /* the request under way is a listing */
     bool listed;     /* a listing is complete; reads continue at 'next' */
     char *after_key; /* last key of the previous page */
@@ -233,7 +233,7 @@
 
 /* Returns the epoch of an answer. An answer without one belongs to the epoch of
    the answer before. */
-static uint64_t answer_epoch(const QRFollower *f, const QRWholeAnswer *a)
+static uint64_t answer_epoch(const QRFollower *f, const QRBufferedAnswer *a)
 {
     g_auto(QRFindings) findings = {0};
     uint64_t epoch;
@@ -299,7 +299,7 @@
 }
 
 /* Logs time and size of a request that failed, was slow or returned much. */
-static void log_answer(const QRFollower *f, const QRWholeAnswer *a,
+static void log_answer(const QRFollower *f, const QRBufferedAnswer *a,
                        const char *why)
 {
     uint64_t took_ms = f->now_ms - MIN(f->sent_ms, f->now_ms);
@@ -314,7 +314,7 @@
             took_ms, f->wait_ms, a->received, why);
 }
 
-static void handle_answer(void *owner, unsigned ref, const QRWholeAnswer *a)
+static void handle_answer(void *owner, unsigned ref, const QRBufferedAnswer *a)
 {
     QRFollower *f = owner;
     QRStorePage page = {0};
@@ -325,7 +325,7 @@
     update_time(f, qr_client_now(f->client));
     f->request = NULL;
     if (a->status == 0)
-        g_strlcpy(why, a->why, sizeof(why));
+        g_strlcpy(why, a->error, sizeof(why));
     else
         g_snprintf(why, sizeof(why), "status %u", a->status);
     log_answer(f, a, why);
@@ -348,7 +348,7 @@
 static void send_request(QRFollower *f)
 {
     g_autofree char *path = NULL;
-    QRWholeRequest r = {0};
+    QRBufferedRequest r = {0};
     /* during an outage, a held read would detect the store's return late;
        after a delay, the age of its records would be unknown */
     bool is_current = f->reachable && f->caught_up_ms > 0 &&
@@ -371,7 +371,7 @@
     f->sent_ms = f->now_ms;
     f->requested = f->next;
     f->suspended_ms = 0;
-    f->request = qr_whole_send(f->client, &r, handle_answer, f, 0);
+    f->request = qr_buffered_send(f->client, &r, handle_answer, f, 0);
     f->new_connection = qr_client_opened(f->client) > opened;
 }
 
@@ -396,7 +396,7 @@
 {
     if (!f)
         return;
-    qr_whole_cancel(f->request);
+    qr_buffered_cancel(f->request);
     g_ptr_array_unref(f->listed_records);
     g_free(f->after_key);
     g_free(f->address);
@@ -445,7 +445,7 @@
 
 static void cancel_request(QRFollower *f)
 {
-    qr_whole_cancel(f->request);
+    qr_buffered_cancel(f->request);
     f->request = NULL;
 }
 
@@ -486,7 +486,7 @@
     if (!paused)
         f->next_ms = 0;
     /* cancel a held read: its records are to come from peers */
-    if (paused && f->request && f->wait_ms > 0 && !qr_whole_began(f->request))
+    if (paused && f->request && f->wait_ms > 0 && !qr_buffered_has_head(f->request))
         cancel_request(f);
 }
 
--- a/src/gateway/qr_requests_store.c
+++ b/src/gateway/qr_requests_store.c
@@ -51,7 +51,7 @@
     return qr_json_text(o);
 }
 
-static void note_store_epoch(QRGateway *g, const QRWholeAnswer *a)
+static void note_store_epoch(QRGateway *g, const QRBufferedAnswer *a)
 {
     g_auto(QRFindings) f = {0};
 
@@ -63,7 +63,7 @@
                 (const char *)f.lines->pdata[0]);
 }
 
-static void handle_written(void *owner, unsigned ref, const QRWholeAnswer *a)
+static void handle_written(void *owner, unsigned ref, const QRBufferedAnswer *a)
 {
     QRGateway *g = owner;
     QRRequests *q = &g->requests;
@@ -83,7 +83,7 @@
     qr_logf(stored ? QR_LEVEL_INFO : QR_LEVEL_WARN, "requests",
             "%s request=%s mark=%u status=%u why=%s",
             stored ? "stored" : "not stored", text, q->writing_level, a->status,
-            a->status ? "answered" : a->why);
+            a->status ? "answered" : a->error);
     if (!s || record_level(s) != q->writing_level)
         return; /* the state changed during the write */
     s->write_due_ms = stored ? 0 : q->next_write_ms;
@@ -96,13 +96,13 @@
 }
 
 static void post_record(QRGateway *g, const char *key, const char *value,
-                        QRWholeDone done)
+                        QRBufferedDone done)
 {
     g_autoptr(GBytes) bytes = g_bytes_new(value, strlen(value));
     g_autoptr(GBytes) body = NULL;
     g_autofree char *path =
         g->platform->put_path(QR_TOPIC_HELD, key, bytes, &body);
-    QRWholeRequest r = {.address = g->set->store,
+    QRBufferedRequest r = {.address = g->set->store,
                         .method = "POST",
                         .path = path,
                         .content_type = "application/octet-stream",
@@ -112,7 +112,7 @@
 
     r.body = g_bytes_get_data(body, &len);
     r.body_len = len;
-    g->requests.write = qr_whole_send(g->to_store, &r, done, g, 0);
+    g->requests.write = qr_buffered_send(g->to_store, &r, done, g, 0);
 }
 
 static void write_record(QRGateway *g, const QRSuspect *s)
@@ -293,6 +293,6 @@
 
 void qr_requests_unfollow(QRGateway *g)
 {
-    qr_whole_cancel(g->requests.write);
+    qr_buffered_cancel(g->requests.write);
     qr_follower_free(g->requests.follower);
 }
--- a/src/sidecar/qr_pieces.c
+++ b/src/sidecar/qr_pieces.c
@@ -111,7 +111,7 @@
 }
 
 static void handle_origin_answer(void *owner, unsigned index,
-                                 const QRWholeAnswer *a)
+                                 const QRBufferedAnswer *a)
 {
     QRTarget *t = owner;
     QRPiece *p = qr_piece(t, index);
@@ -128,7 +128,7 @@
     qr_logf(QR_LEVEL_WARN, "weights",
             "origin failed index=%d status=%u why=%s version=%" G_GUINT64_FORMAT
             " rest_ms=%" G_GUINT64_FORMAT,
-            (int)index, a->status, a->why ? a->why : "-", t->version,
+            (int)index, a->status, a->error ? a->error : "-", t->version,
             retry_after_ms);
     p->asked = false;
     p->asked_ms = qr_sidecar_now(t->sidecar);
@@ -164,7 +164,7 @@
 {
     QRSidecar *s = t->sidecar;
     g_autofree char *path = NULL;
-    QRWholeRequest r = {0};
+    QRBufferedRequest r = {0};
 
     if (!origin_address(s) || now < s->origin_retry_ms ||
         qr_pieces_count_origin_requests(s) >= ORIGIN_REQUESTS_MAX)
@@ -178,7 +178,7 @@
     r.connect_ms = CONNECT_MS;
     r.timeout_ms = ORIGIN_TIMEOUT_MS;
     qr_piece(t, index)->fetch =
-        qr_whole_send(s->origin_client, &r, handle_origin_answer, t, index);
+        qr_buffered_send(s->origin_client, &r, handle_origin_answer, t, index);
 }
 
 /* Moves on to the next source: the one asked or dialled did not deliver. */
@@ -226,7 +226,7 @@
     frame.body_case = QR__FLEET__FRAME__BODY_WANT;
     frame.want = &want;
     qr_peer_send(peer, &frame);
-    qr_peer_expect(peer);
+    qr_peer_expect_answer(peer);
     p->asked = true;
     p->asked_conn = peer;
     p->answered = p->pending = false;
--- a/src/sidecar/qr_sidecar.c
+++ b/src/sidecar/qr_sidecar.c
@@ -108,7 +108,7 @@
         qr_sidecar_send_state(s, true);
 }
 
-static void report_finished(void *owner, unsigned ref, const QRWholeAnswer *a)
+static void report_finished(void *owner, unsigned ref, const QRBufferedAnswer *a)
 {
     QRSidecar *s = owner;
     QREngineReport new = {0};
@@ -140,7 +140,7 @@
 static void request_report(QRSidecar *s, uint64_t now)
 {
     g_autofree char *path = s->platform->report_path();
-    QRWholeRequest r = {0};
+    QRBufferedRequest r = {0};
 
     r.address = s->set->engine;
     r.method = "GET";
@@ -150,7 +150,7 @@
     s->report_next_ms =
         now + (s->switching ? REPORT_BUSY_INTERVAL_MS : REPORT_INTERVAL_MS);
     s->report_asked_ms = now;
-    s->report_call = qr_whole_send(s->engine_client, &r, report_finished, s, 0);
+    s->report_call = qr_buffered_send(s->engine_client, &r, report_finished, s, 0);
 }
 
 static void operator_record(void *owner, const QRStoreRecord *r)
@@ -224,7 +224,7 @@
 {
     QRSidecar *s = timer->data;
     uint64_t now = qr_sidecar_now(s);
-    uint64_t gap = qr_ticks_stood_still(&s->ticks, now, TICK_DELAY_MAX_MS);
+    uint64_t gap = qr_ticks_stall_ms(&s->ticks, now, TICK_DELAY_MAX_MS);
 
     if (gap > 0) {
         qr_logf(QR_LEVEL_WARN, "sidecar", "stood still ms=%" G_GUINT64_FORMAT,
@@ -289,7 +289,7 @@
         s->origin_bytes, s->peer_pieces, s->orders, s->report.version,
         qr_sidecar_newest_version(s), s->slots.granted, s->slots.denied,
         s->slots.yielded, s->slots.rate_limited, s->slots.backed_off);
-    qr_traffic_text(qr_peers_traffic(s->peers), text);
+    qr_traffic_append_metrics(qr_peers_traffic(s->peers), text);
     qr_exchange_reply(x, 200, NULL, text->str, text->len);
 }
 
@@ -365,8 +365,8 @@
 static void sidecar_clear(QRSidecar *s)
 {
     qr_weights_clear(s);
-    qr_whole_cancel(s->report_call);
-    qr_whole_cancel(s->order_call);
+    qr_buffered_cancel(s->report_call);
+    qr_buffered_cancel(s->order_call);
     qr_follower_free(s->operator_follower);
     qr_client_close(s->engine_client);
     qr_client_close(s->origin_client);
--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -16,7 +16,7 @@
 #include "net/qr_peer.h"
 #include "net/qr_server.h"
 #include "net/qr_ticks.h"
-#include "net/qr_whole.h"
+#include "net/qr_buffered_call.h"
 #include "qr_upload_limiter.h"
 #include "qr_progress.h"
 #include "fleet/qr_slots.h"
@@ -44,8 +44,8 @@
     uint64_t dial_ms;        /* start of dialling the peer; 0: not dialling */
     char *source;            /* name of the peer asked */
     const void *asked_conn;  /* connection to it; not owned, may be closed */
-    QRWhole *fetch;          /* request to the origin, or NULL */
-    QRWhole *stage;          /* request to the engine, or NULL */
+    QRBufferedCall *fetch;          /* request to the origin, or NULL */
+    QRBufferedCall *stage;          /* request to the engine, or NULL */
     bool stage_is_read;      /* 'stage' reads the piece back */
 } QRPiece;
 
@@ -102,7 +102,7 @@
     bool report_unreadable; /* the last one; logged once in a row */
     bool reachable;         /* the engine answered its last report */
     uint64_t report_ms, report_next_ms, report_asked_ms;
-    QRWhole *report_call;
+    QRBufferedCall *report_call;
     QRSlots slots;
     /* weights */
     char *model;
@@ -119,7 +119,7 @@
     uint64_t origin_used_ms;     /* last reply of the origin; 0: none idle */
     double piece_window;         /* limit of pieces requested at once */
     /* the order to the engine to start a version */
-    QRWhole *order_call;
+    QRBufferedCall *order_call;
     uint64_t order_next_ms, order_answered_ms;
     uint64_t ordered_version;
     bool switching;        /* an order has been announced to gateways, was sent,
--- a/src/sidecar/qr_stage.c
+++ b/src/sidecar/qr_stage.c
@@ -28,7 +28,7 @@
  * Handles the answer to reading a piece back. A piece that matches its digest
  * is staged at the engine, and its bytes are also kept here.
  */
-static void check_read_back(QRTarget *t, unsigned index, const QRWholeAnswer *a)
+static void check_read_back(QRTarget *t, unsigned index, const QRBufferedAnswer *a)
 {
     QRPiece *p = qr_piece(t, index);
     char digest[QR_SHA_HEX] = "";
@@ -52,7 +52,7 @@
 }
 
 static void handle_stage_answer(void *owner, unsigned index,
-                                const QRWholeAnswer *a)
+                                const QRBufferedAnswer *a)
 {
     QRTarget *t = owner;
     QRPiece *p = qr_piece(t, index);
@@ -80,7 +80,7 @@
     QRSidecar *s = t->sidecar;
     QRPiece *p = qr_piece(t, index);
     g_autofree char *path = s->platform->stage_path(s->model, index, put);
-    QRWholeRequest r = {0};
+    QRBufferedRequest r = {0};
     gsize len = 0;
 
     r.address = s->set->engine;
@@ -92,7 +92,7 @@
     r.timeout_ms = STAGE_TIMEOUT_MS;
     p->stage_is_read = !put;
     p->stage =
-        qr_whole_send(s->engine_client, &r, handle_stage_answer, t, index);
+        qr_buffered_send(s->engine_client, &r, handle_stage_answer, t, index);
     if (put)
         s->staged_version = t->version;
 }
@@ -186,7 +186,7 @@
 }
 
 static void handle_order_answer(void *owner, unsigned ref,
-                                const QRWholeAnswer *a)
+                                const QRBufferedAnswer *a)
 {
     QRSidecar *s = owner;
 
@@ -200,7 +200,7 @@
             "start version=%" G_GUINT64_FORMAT
             " status=%u sequence=%" G_GUINT64_FORMAT " why=%s",
             s->ordered_version, a->status, s->report.sequence,
-            a->why ? a->why : "-");
+            a->error ? a->error : "-");
     if (a->status == 202 || a->status == 200 || a->status == 0)
         return; /* an unanswered order may have been accepted: the next report
                    shows whether it was */
@@ -250,7 +250,7 @@
     g_autofree char *path = s->platform->order_path();
     g_autofree char *body = s->platform->start_order(s->model, t->version,
                                                      s->report.sequence, true);
-    QRWholeRequest r = {0};
+    QRBufferedRequest r = {0};
 
     r.address = s->set->engine;
     r.method = "POST";
@@ -263,7 +263,7 @@
     s->announced_ms = 0;
     s->ordered_version = t->version;
     s->order_call =
-        qr_whole_send(s->engine_client, &r, handle_order_answer, s, 0);
+        qr_buffered_send(s->engine_client, &r, handle_order_answer, s, 0);
 }
 
 /* When the engine may start the version. An engine that gateways do not use
