--- a/src/fleet/qr_follower.c
+++ b/src/fleet/qr_follower.c
@@ -486,7 +486,8 @@
     if (!paused)
         f->next_ms = 0;
     /* cancel a held read: its records are to come from peers */
-    if (paused && f->request && f->wait_ms > 0 && !qr_buffered_has_head(f->request))
+    if (paused && f->request && f->wait_ms > 0 &&
+        !qr_buffered_has_head(f->request))
         cancel_request(f);
 }
 
--- a/src/gateway/qr_requests.h
+++ b/src/gateway/qr_requests.h
@@ -22,7 +22,7 @@
     GPtrArray *runs; /* EngineRun *: runs of engines that may have ended */
     GArray *cleared; /* QRFingerprint: answers to be reported to gateways */
     QRFollower *follower;
-    QRBufferedCall *write;                /* write to the store in progress, or NULL */
+    QRBufferedCall *write;         /* write to the store in progress, or NULL */
     QRFingerprint writing_request; /* the request that 'write' is about */
     bool is_polling;               /* keeps reading the store */
     unsigned writing_level;        /* record_level() of what is being written */
--- a/src/gateway/qr_requests_store.c
+++ b/src/gateway/qr_requests_store.c
@@ -103,11 +103,11 @@
     g_autofree char *path =
         g->platform->put_path(QR_TOPIC_HELD, key, bytes, &body);
     QRBufferedRequest r = {.address = g->set->store,
-                        .method = "POST",
-                        .path = path,
-                        .content_type = "application/octet-stream",
-                        .connect_ms = CONNECT_TIMEOUT_MS,
-                        .timeout_ms = QR_STORE_TIMEOUT_MS};
+                           .method = "POST",
+                           .path = path,
+                           .content_type = "application/octet-stream",
+                           .connect_ms = CONNECT_TIMEOUT_MS,
+                           .timeout_ms = QR_STORE_TIMEOUT_MS};
     gsize len;
 
     r.body = g_bytes_get_data(body, &len);
--- a/src/sidecar/qr_sidecar.c
+++ b/src/sidecar/qr_sidecar.c
@@ -108,7 +108,8 @@
         qr_sidecar_send_state(s, true);
 }
 
-static void report_finished(void *owner, unsigned ref, const QRBufferedAnswer *a)
+static void report_finished(void *owner, unsigned ref,
+                            const QRBufferedAnswer *a)
 {
     QRSidecar *s = owner;
     QREngineReport new = {0};
@@ -150,7 +151,8 @@
     s->report_next_ms =
         now + (s->switching ? REPORT_BUSY_INTERVAL_MS : REPORT_INTERVAL_MS);
     s->report_asked_ms = now;
-    s->report_call = qr_buffered_send(s->engine_client, &r, report_finished, s, 0);
+    s->report_call =
+        qr_buffered_send(s->engine_client, &r, report_finished, s, 0);
 }
 
 static void operator_record(void *owner, const QRStoreRecord *r)
--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -44,8 +44,8 @@
     uint64_t dial_ms;        /* start of dialling the peer; 0: not dialling */
     char *source;            /* name of the peer asked */
     const void *asked_conn;  /* connection to it; not owned, may be closed */
-    QRBufferedCall *fetch;          /* request to the origin, or NULL */
-    QRBufferedCall *stage;          /* request to the engine, or NULL */
+    QRBufferedCall *fetch;   /* request to the origin, or NULL */
+    QRBufferedCall *stage;   /* request to the engine, or NULL */
     bool stage_is_read;      /* 'stage' reads the piece back */
 } QRPiece;
 
--- a/src/sidecar/qr_stage.c
+++ b/src/sidecar/qr_stage.c
@@ -28,7 +28,8 @@
  * Handles the answer to reading a piece back. A piece that matches its digest
  * is staged at the engine, and its bytes are also kept here.
  */
-static void check_read_back(QRTarget *t, unsigned index, const QRBufferedAnswer *a)
+static void check_read_back(QRTarget *t, unsigned index,
+                            const QRBufferedAnswer *a)
 {
     QRPiece *p = qr_piece(t, index);
     char digest[QR_SHA_HEX] = "";
