--- a/src/net/qr_client.c
+++ b/src/net/qr_client.c
@@ -12,8 +12,9 @@
 #define IDLE_MARGIN_MS 300 /* closed this long before the peer closes it */
 #define UNACKED_TIMEOUT_MS                                                     \
     3000 /* TCP user timeout: unacknowledged bytes break the connection */
-#define SKIPPED_ANSWERS_MAX 4 /* answers to earlier requests that are ignored  \
-                               */
+#define SKIPPED_ANSWERS_MAX                                                    \
+    4 /* answers to earlier requests that are ignored                          \
+       */
 
 static void link_free(uv_handle_t *h)
 {
--- a/src/net/qr_client.h
+++ b/src/net/qr_client.h
@@ -58,7 +58,8 @@
 void qr_client_cancel(QRClientCall *call);
 /*
  * Reports that the peer has sent nothing for too long. Closes idle connections
- * that received nothing in that time either. The request itself continues.
+ * that received nothing in that time either, provided that the connection of
+ * the request worked before. The request itself continues.
  */
 void qr_client_note_silence(QRClientCall *call);
 /*
--- a/src/net/qr_exchange.c
+++ b/src/net/qr_exchange.c
@@ -1,12 +1,13 @@
 /*
- * One request to the HTTP server and its answer.
+ * One exchange of the HTTP server: a request and its answer.
  */
 #include "qr_server_parts.h"
 #include "qr_socket.h"
 
 #include <string.h>
 
-/* Memory that a connection keeps for the bodies of its next requests. */
+/* Largest body buffer, in bytes, that a connection keeps for its next request.
+ */
 #define BODY_KEPT_MAX (64u << 10)
 
 void qr_conn_write(QRConn *c, const void *data, size_t len)
@@ -78,7 +79,7 @@
     return x->data;
 }
 
-/* The answer is out: the connection is free for the next request. */
+/* The answer is written: the connection may take its next request. */
 static void exchange_finish(QRExchange *x)
 {
     QRConn *c = x->conn;
@@ -185,7 +186,8 @@
     if (c->closing)
         return;
     qr_conn_detach(c);
-    /* a reset, so that an answer without a length cannot look whole */
+    /* without a Content-Length, an orderly close would look like a complete
+       answer; a reset does not */
     if (uv_tcp_close_reset(&c->tcp, qr_conn_free) != 0)
         uv_close((uv_handle_t *)&c->tcp, qr_conn_free);
 }
--- a/src/net/qr_headers.c
+++ b/src/net/qr_headers.c
@@ -1,5 +1,5 @@
 /*
- * Header fields of one HTTP message, in the order in which they came.
+ * Header fields of one HTTP message, in the order of arrival.
  */
 #include "qr_headers.h"
 
--- a/src/net/qr_message.c
+++ b/src/net/qr_message.c
@@ -1,10 +1,12 @@
 /*
- * One HTTP/1.1 message as it is read off a connection, by http-parser.
+ * Incremental reader of HTTP/1.1 messages, based on http-parser.
  */
 #include "qr_message.h"
 
 #include <string.h>
 
+#define DEFAULT_HEAD_MAX 65536 /* bytes */
+
 static int set_fault(QRMessage *m, QRMessageFault why)
 {
     if (m->fault == QR_MESSAGE_OK)
@@ -27,7 +29,7 @@
 {
     if (!m->in_value)
         return 0;
-    /* a NUL inside would hide what follows it */
+    /* a NUL would hide the rest of the value */
     if (strlen(m->value->str) != m->value->len ||
         !is_valid_value(m->value->str))
         return set_fault(m, QR_MESSAGE_MALFORMED);
@@ -61,7 +63,7 @@
 {
     QRMessage *m = p->data;
 
-    if (m->head_done) /* a trailer: dropped */
+    if (m->head_done) /* trailer fields are ignored */
         return count_head_bytes(m, len);
     if (finish_field(m))
         return -1;
@@ -89,7 +91,7 @@
         return -1;
     m->head_done = true;
     if (p->type == HTTP_REQUEST && p->method != HTTP_CONNECT)
-        p->upgrade = 0; /* no other protocol is spoken */
+        p->upgrade = 0; /* protocol upgrades are not supported */
     no_body = m->handlers->head(m, m->owner);
     return no_body ? 1 : 0;
 }
@@ -135,7 +137,7 @@
     m->target = g_string_new(NULL);
     m->name = g_string_new(NULL);
     m->value = g_string_new(NULL);
-    m->head_max = 65536;
+    m->head_max = DEFAULT_HEAD_MAX;
 }
 
 void qr_message_clear(QRMessage *m)
--- a/src/net/qr_message.h
+++ b/src/net/qr_message.h
@@ -1,5 +1,5 @@
 /*
- * One HTTP/1.1 message as it is read off a connection, by http-parser.
+ * Incremental reader of HTTP/1.1 messages, based on http-parser.
  */
 #ifndef QR_MESSAGE_H
 #define QR_MESSAGE_H
@@ -8,7 +8,7 @@
 
 #include <http_parser.h>
 
-/* Why reading ended, beside the end of a message. */
+/* Why a message could not be read. */
 typedef enum QRMessageFault {
     QR_MESSAGE_OK,
     QR_MESSAGE_MALFORMED,
@@ -19,7 +19,7 @@
 typedef struct QRMessage QRMessage;
 
 typedef struct QRMessageHandlers {
-    /* The head is whole. Returning true says that no body follows. */
+    /* The head is complete. Returns true if no body follows. */
     bool (*head)(QRMessage *m, void *owner);
     void (*body)(QRMessage *m, void *owner, const char *data, size_t len);
     void (*end)(QRMessage *m, void *owner);
@@ -30,26 +30,27 @@
     const QRMessageHandlers *handlers;
     void *owner;
     QRHeaders headers;
-    GString *target;       /* of a request */
-    GString *name, *value; /* of the field being read */
+    GString *target;       /* request target; empty for answers */
+    GString *name, *value; /* header field being read */
     bool in_value;
     bool head_done, done;
     size_t head_bytes, head_max;
-    size_t body_bytes, body_max; /* body_max 0: any */
+    size_t body_bytes, body_max; /* body_max 0: unlimited */
     QRMessageFault fault;
 };
 
 void qr_message_init(QRMessage *m, enum http_parser_type type,
                      const QRMessageHandlers *handlers, void *owner);
 void qr_message_clear(QRMessage *m);
-/* Makes ready for the next message on the same connection. */
+/* Resets the state for the next message on the same connection. */
 void qr_message_next(QRMessage *m);
 /*
- * Reads up to the end of one message. Returns the bytes taken; what lies
- * behind them belongs to the next message. Sets m->fault.
+ * Parses up to the end of one message. Returns the number of bytes used; the
+ * bytes after them belong to the next message. Sets m->fault on errors.
  */
 size_t qr_message_read(QRMessage *m, const char *data, size_t len);
-/* The peer ended the connection in order. False if that cuts the message. */
+/* Called at an orderly end of the connection. Returns false if the message is
+   incomplete. */
 bool qr_message_end_of_file(QRMessage *m);
 /* Whether the connection may carry another message after this one. */
 bool qr_message_keeps_open(const QRMessage *m);
--- a/src/net/qr_server.c
+++ b/src/net/qr_server.c
@@ -1,5 +1,6 @@
 /*
- * HTTP/1.1 server on a libuv loop: one exchange at a time on a connection.
+ * HTTP/1.1 server on a libuv loop. Each connection handles one exchange, that
+ * is a request and its answer, at a time.
  */
 #include "qr_server_parts.h"
 #include "qr_socket.h"
@@ -9,14 +10,15 @@
 #include <string.h>
 
 #define BACKLOG 1024
-#define SEND_STALL_MS 10000      /* a caller that takes no byte for so long */
-#define PIPELINE_MAX (64u << 10) /* bytes read ahead of the answer */
+#define SEND_STALL_MS 10000 /* longest time a caller may accept no byte */
+#define PIPELINE_MAX                                                           \
+    (64u << 10) /* bytes received before the current answer ends */
 #define DEFAULT_HEAD_MAX 16384
 #define DEFAULT_BODY_MAX (1u << 20)
 #define DEFAULT_HEAD_MS 5000
 #define DEFAULT_IDLE_MS 15000
 #define DEFAULT_CONNECTIONS 1000
-#define LINGER_MS 1000 /* for what a refused caller is still sending */
+#define LINGER_MS 1000 /* how long bytes of a refused caller are still read */
 
 void qr_conn_free(uv_handle_t *h)
 {
@@ -28,7 +30,6 @@
     g_free(c);
 }
 
-/* Takes the connection out of its server's list. */
 void qr_conn_detach(QRConn *c)
 {
     QRServer *s = c->server;
@@ -48,7 +49,7 @@
     uv_close((uv_handle_t *)&c->tcp, qr_conn_free);
 }
 
-/* Closes for a reason of ours, which the log tells. */
+/* Closes a connection on the decision of the server, and logs the reason. */
 static void conn_close_logged(QRConn *c, const char *why)
 {
     qr_logf(QR_LEVEL_WARN, "callers",
@@ -58,7 +59,7 @@
     conn_close(c);
 }
 
-/* The exchange under way, if any, will not be answered. */
+/* Closes a broken connection and reports an unfinished exchange, if any. */
 static void conn_break(QRConn *c, const char *why)
 {
     bool open = c->exchange.state != QR_EXCHANGE_NONE;
@@ -77,7 +78,6 @@
     g_free(req);
 }
 
-/* Ends our side and reads on for a while: closing now would reset. */
 void qr_conn_linger(QRConn *c)
 {
     uv_shutdown_t *req;
@@ -91,7 +91,8 @@
         g_free(req);
 }
 
-/* Answers what could not be read as a request, and ends the connection. */
+/* Answers an unacceptable or incomplete request with an error status, and ends
+   the connection. */
 static void conn_refuse(QRConn *c, unsigned status)
 {
     g_autoptr(GString) out = g_string_new(NULL);
@@ -163,7 +164,6 @@
     return fault == QR_MESSAGE_BODY_TOO_LARGE ? 413 : 400;
 }
 
-/* Takes requests out of what was read, one after the other. */
 void qr_conn_process_input(QRConn *c)
 {
     if (c->processing)
@@ -201,21 +201,21 @@
         return;
     if (c->exchange.state != QR_EXCHANGE_NONE &&
         c->read_ahead->len + (size_t)n > PIPELINE_MAX) {
-        conn_break(c, "more requests at once than are kept");
+        conn_break(c, "too many bytes of pipelined requests");
         return;
     }
     g_byte_array_append(c->read_ahead, (const guint8 *)buf->base, (guint)n);
     qr_conn_process_input(c);
 }
 
-/* Carries no request, nor part of one, nor of an answer. */
+/* Whether the connection has no request, no part of one and no unsent bytes. */
 static bool conn_is_idle(const QRConn *c)
 {
     return c->exchange.state == QR_EXCHANGE_NONE && !c->request_begun &&
            uv_stream_get_write_queue_size((const uv_stream_t *)&c->tcp) == 0;
 }
 
-/* Makes room by closing the connection that has rested longest. */
+/* Makes room for a new connection by closing the one that is idle longest. */
 static void server_close_oldest_idle(QRServer *s)
 {
     QRConn *oldest = NULL;
@@ -227,7 +227,8 @@
             oldest = c;
     }
     if (oldest)
-        conn_close_logged(oldest, "room for another caller");
+        conn_close_logged(oldest,
+                          "connection limit reached, closing the longest idle");
 }
 
 static void server_accept(uv_stream_t *stream, int status)
@@ -255,7 +256,7 @@
     g_ptr_array_add(s->conns, c);
     if (uv_accept(stream, (uv_stream_t *)&c->tcp) != 0 ||
         s->conns->len > s->limits.connections_max) {
-        conn_close_logged(c, "no room");
+        conn_close_logged(c, "accept failed or connection limit reached");
         return;
     }
     qr_socket_tune(&c->tcp, SEND_STALL_MS);
@@ -294,7 +295,7 @@
     return s;
 }
 
-/* A request is read under the limits that it began with. */
+/* A request keeps the size limits in force when it began. */
 void qr_conn_apply_limits(QRConn *c)
 {
     if (c->request_begun)
@@ -349,8 +350,8 @@
 }
 
 /*
- * Whether the caller still reads its last answer: closing now would cut it. A
- * connection rests, or lingers, from the last byte on that was taken.
+ * Whether bytes of the last answer are still unsent: a close now would truncate
+ * the answer. The idle and linger times start when the last byte was accepted.
  */
 static bool conn_is_sending(QRConn *c, uint64_t now)
 {
@@ -384,7 +385,7 @@
     if (c->exchange.state != QR_EXCHANGE_NONE)
         return;
     if (!c->request_begun) {
-        /* a limit that was lowered meanwhile: the caller may not know yet */
+        /* a limit lowered since then may be unknown to the caller */
         if (elapsed_ms > MAX(c->idle_timeout_ms, l->idle_timeout_ms))
             conn_close(c);
         return;
--- a/src/net/qr_server_parts.h
+++ b/src/net/qr_server_parts.h
@@ -1,6 +1,6 @@
 /*
- * What the parts of the HTTP server share: connections, and the exchange that
- * each carries. Included by qr_server.c and qr_exchange.c only.
+ * Internal types of the HTTP server: connections and the exchange on each.
+ * Included by qr_server.c and qr_exchange.c only.
  */
 #ifndef QR_SERVER_PARTS_H
 #define QR_SERVER_PARTS_H
@@ -10,8 +10,8 @@
 
 typedef enum QRExchangeState {
     QR_EXCHANGE_NONE,      /* reading a request */
-    QR_EXCHANGE_WAITING,   /* whole request handed on, no answer yet */
-    QR_EXCHANGE_ANSWERING, /* head of a streamed answer is out */
+    QR_EXCHANGE_WAITING,   /* request passed to its handler, no answer yet */
+    QR_EXCHANGE_ANSWERING, /* head of a streamed answer was sent */
 } QRExchangeState;
 
 typedef struct QRConn QRConn;
@@ -30,15 +30,14 @@
     QRServer *server;
     QRMessage message;
     QRExchange exchange;
-    GByteArray *read_ahead;   /* read while an answer is under way */
-    uint64_t since_ms;        /* of the present state */
-    uint32_t idle_timeout_ms; /* what its caller may rest, as told when it began
-                                 to */
-    size_t unsent;      /* of an answer that has ended, at the last tick */
-    bool request_begun; /* bytes of a request came */
+    GByteArray *read_ahead;   /* received, not parsed yet */
+    uint64_t since_ms;        /* when the current state began */
+    uint32_t idle_timeout_ms; /* idle timeout in force when it became idle */
+    size_t unsent;      /* unsent bytes at the last tick, after an answer */
+    bool request_begun; /* bytes of a request were received */
     bool closing, lingering;
-    bool processing;  /* requests are being taken out of 'ahead' */
-    bool close_after; /* no request after this one */
+    bool processing;  /* qr_conn_process_input() is running */
+    bool close_after; /* close after the current answer */
     unsigned index;   /* in server->conns */
 };
 
@@ -50,18 +49,20 @@
     const QRServerHandlers *handlers;
     void *owner;
     bool listening, draining, closing;
-    bool listener_closed; /* the listener is closed for good */
+    bool listener_closed; /* the close callback of the listener has run */
 };
 
 void qr_conn_free(uv_handle_t *h);
-/* Takes the connection out of its server's list. */
+/* Marks the connection as closing and removes it from the list of its server.
+ */
 void qr_conn_detach(QRConn *c);
 void qr_conn_write(QRConn *c, const void *data, size_t len);
-/* Ends our side and reads on for a while: closing now would reset. */
+/* Shuts down the sending side and keeps reading for a while: an immediate close
+   could reset the connection before the caller has read the answer. */
 void qr_conn_linger(QRConn *c);
-/* Takes requests out of what was read, one after the other. */
+/* Parses requests from 'read_ahead', one at a time. */
 void qr_conn_process_input(QRConn *c);
-/* The next request is read under the limits of now. */
+/* Applies the current size limits unless a request has begun. */
 void qr_conn_apply_limits(QRConn *c);
 void qr_append_status_line(GString *out, unsigned status);
 
