--- a/src/net/qr_client.c
+++ b/src/net/qr_client.c
@@ -10,11 +10,11 @@
 
 #define IDLE_MS 4000       /* how long an idle connection is kept */
 #define IDLE_MARGIN_MS 300 /* closed this long before the peer closes it */
-#define UNACKED_TIMEOUT_MS                                                     \
-    3000 /* TCP user timeout: unacknowledged bytes break the connection */
-#define SKIPPED_ANSWERS_MAX                                                    \
-    4 /* answers to earlier requests that are ignored                          \
-       */
+/* TCP user timeout: unacknowledged bytes break the connection. */
+#define UNACKED_TIMEOUT_MS 3000
+
+/* Answers to earlier requests that are ignored. */
+#define SKIPPED_ANSWERS_MAX 4
 
 static void link_free(uv_handle_t *h)
 {
--- a/src/net/qr_client.h
+++ b/src/net/qr_client.h
@@ -34,8 +34,7 @@
     const char *address; /* "ip:port" */
     const void *data;    /* complete request, head and body; copied */
     size_t len;
-    const char
-        *id; /* expected in the id header of the answer; NULL: not checked */
+    const char *id;      /* expected id of the answer; NULL: not checked */
     bool head_only;      /* HEAD request: the answer has no body */
     bool new_connection; /* never reuse an idle connection */
     uint32_t connect_ms; /* time limit for opening a connection */
@@ -76,9 +75,8 @@
 } QRClientProbeResult;
 
 typedef void (*QRClientProbeDone)(void *owner, const char *address,
-                                  QRClientProbeResult reached);
-/* Opens a connection; 'done' gets the result later, unless the client closes.
- */
+                                  QRClientProbeResult result);
+/* Opens a connection. Calls 'done' later unless the client is closed first. */
 void qr_client_probe(QRClient *c, const char *address, uint32_t connect_ms,
                      QRClientProbeDone done, void *owner);
 /* Checks time limits and silent connections; to be called about every 20 ms. */
--- a/src/net/qr_client_silence.c
+++ b/src/net/qr_client_silence.c
@@ -18,17 +18,16 @@
 #define UNACKED_MS 250
 #define UNACKED_CHECK_MS 100 /* delay of the first check and between checks */
 /* All answers in flight pause together for this long. That is longer than the
-   pauses allowed to streams, and pauses of different engines are independent.
- */
+   pauses allowed to streams, and engines pause independently. */
 #define ALL_QUIET_MS 450
-#define ALL_QUIET_ANSWERS_MIN                                                  \
-    3 /* started answers, from more than one address */
+#define ALL_QUIET_ANSWERS_MIN 3 /* started, from several addresses */
 /* Connections to two addresses go silent within this time, which covers a
    stalled call in between: neither address is the cause, and connections to
    other addresses are suspect too. */
 #define SEVERAL_ADDRESSES_MS 2000
 /* Ticks come every 20 ms. A longer gap than this means that this process was
-   suspended; bytes received during the gap are read after the first tick. */
+   suspended. Bytes received during the gap are read after the first tick, so
+   no request is marked until AFTER_GAP_MS after that tick. */
 #define TICK_GAP_MS 150
 #define AFTER_GAP_MS 60
 
--- a/src/net/qr_server.c
+++ b/src/net/qr_server.c
@@ -11,8 +11,9 @@
 
 #define BACKLOG 1024
 #define SEND_STALL_MS 10000 /* longest time a caller may accept no byte */
-#define PIPELINE_MAX                                                           \
-    (64u << 10) /* bytes received before the current answer ends */
+/* Bytes kept that are received before the current answer ends. */
+#define PIPELINE_MAX (64u << 10)
+
 #define DEFAULT_HEAD_MAX 16384
 #define DEFAULT_BODY_MAX (1u << 20)
 #define DEFAULT_HEAD_MS 5000
--- a/src/net/qr_server_parts.h
+++ b/src/net/qr_server_parts.h
@@ -53,8 +53,7 @@
 };
 
 void qr_conn_free(uv_handle_t *h);
-/* Marks the connection as closing and removes it from the list of its server.
- */
+/* Marks the connection as closing and removes it from its server. */
 void qr_conn_detach(QRConn *c);
 void qr_conn_write(QRConn *c, const void *data, size_t len);
 /* Shuts down the sending side and keeps reading for a while: an immediate close
