--- a/src/net/qr_exchange.c
+++ b/src/net/qr_exchange.c
@@ -101,7 +101,7 @@
     c->request_begun = false;
     qr_conn_apply_limits(c);
     c->since_ms = qr_clock_ms(c->server->loop);
-    c->idle_timeout_ms = c->server->limits.idle_timeout_ms;
+    c->idle_limit_ms = c->server->limits.idle_timeout_ms;
     qr_conn_process_input(c);
 }
 
--- a/src/net/qr_server.c
+++ b/src/net/qr_server.c
@@ -249,7 +249,7 @@
     c->message.head_max = s->limits.head_max;
     c->message.body_max = s->limits.body_max;
     c->since_ms = qr_clock_ms(s->loop);
-    c->idle_timeout_ms = s->limits.idle_timeout_ms;
+    c->idle_limit_ms = s->limits.idle_timeout_ms;
     uv_tcp_init(s->loop, &c->tcp);
     if (s->conns->len >= s->limits.connections_max)
         server_close_oldest_idle(s);
@@ -387,7 +387,7 @@
         return;
     if (!c->request_begun) {
         /* a limit lowered since then may be unknown to the caller */
-        if (elapsed_ms > MAX(c->idle_timeout_ms, l->idle_timeout_ms))
+        if (elapsed_ms > MAX(c->idle_limit_ms, l->idle_timeout_ms))
             conn_close(c);
         return;
     }
--- a/src/net/qr_server_parts.h
+++ b/src/net/qr_server_parts.h
@@ -30,11 +30,11 @@
     QRServer *server;
     QRMessage message;
     QRExchange exchange;
-    GByteArray *read_ahead;   /* received, not parsed yet */
-    uint64_t since_ms;        /* when the current state began */
-    uint32_t idle_timeout_ms; /* idle timeout in force when it became idle */
-    size_t unsent;      /* unsent bytes at the last tick, after an answer */
-    bool request_begun; /* bytes of a request were received */
+    GByteArray *read_ahead; /* received, not parsed yet */
+    uint64_t since_ms;      /* when the current state began */
+    uint32_t idle_limit_ms; /* idle timeout in force when it became idle */
+    size_t unsent;          /* unsent bytes at the last tick, after an answer */
+    bool request_begun;     /* bytes of a request were received */
     bool closing, lingering;
     bool processing;  /* qr_conn_process_input() is running */
     bool close_after; /* close after the current answer */
