--- a/src/gateway/qr_gateway_front.c
+++ b/src/gateway/qr_gateway_front.c
@@ -282,7 +282,8 @@
         "quayring_store_calls_total %" G_GUINT64_FORMAT "\n"
         "quayring_log_lines_dropped_total %" G_GUINT64_FORMAT "\n",
         g->relays->len, qr_client_connections_opened(g->to_engines),
-        qr_client_unresponsive_requests(g->to_engines), qr_peers_replaced(g->peers),
+        qr_client_unresponsive_requests(g->to_engines),
+        qr_peers_replaced(g->peers),
         qr_follower_requests_sent(g->follow_operator) +
             qr_follower_requests_sent(g->follow_engines),
         qr_log_dropped());
