--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -1,5 +1,5 @@
-"""Gateways behind links that can be cut, which are killed, frozen and started
-again, and callers that go on meanwhile."""
+"""Gateways behind links that can be cut. The gateways can be killed, frozen and
+restarted while callers continue to send calls."""
 import random
 import signal
 import threading
@@ -18,14 +18,15 @@
         super().__init__(gateways=0, plain=0)
 
     def start_gateways(self, n, links):
-        """Starts 'n' that meet; behind links if 'links'."""
+        """Starts 'n' gateways, behind links if 'links', and waits until each
+        knows the others."""
         if links:
             self.loop = Loop()
             self.start_behind_links(n)
         else:
             self.add_gateways(n)
         self.wait_ready()
-        wait_for("gateways to have met", self.have_met)
+        wait_for("gateways to know one another", self.have_met)
 
     def start_behind_links(self, n):
         names = {}
@@ -44,14 +45,14 @@
                    len(self.gateways) - 1 for i in range(len(self.gateways)))
 
     def again(self, i):
-        """The i-th gateway is killed, and starts at once."""
+        """Kills the i-th gateway and restarts it at once."""
         name = "g%d" % i
         self.procs[name].kill()
         self.procs[name].wait(10)
         self.start(name, "gateway", "%s/%s.json" % (self.dir, name))
 
     def all_again(self):
-        """All are killed, and start at once."""
+        """Kills all gateways and restarts them at once."""
         names = ["g%d" % i for i in range(len(self.gateways))]
         for name in names:
             self.procs[name].kill()
@@ -67,7 +68,7 @@
         process.send_signal(signal.SIGCONT)
 
     def cut(self, i):
-        """Its links to the other gateways, both ways."""
+        """Cuts the i-th gateway's link, both directions, for CUT_S seconds."""
         self.links[i].cut((THERE, BACK))
         time.sleep(CUT_S)
         self.links[i].mend()
@@ -80,7 +81,7 @@
 
 
 class SteadyCallers:
-    """Threads that send one call after the other; a subclass makes them."""
+    """Threads that send one call after another; a subclass defines call()."""
 
     def __init__(self, fleet, seed, path, count):
         self.fleet, self.path, self.ended = fleet, path, False
@@ -100,11 +101,12 @@
             time.sleep(dice.uniform(0.02, 0.06))
 
     def call(self, number, n, dice):
-        """The n-th of caller 'number'."""
+        """Sends the n-th call of caller 'number'."""
         raise NotImplementedError
 
     def send(self, ident, gateway, body=b"hello"):
-        """(status, headers, body); status 0: the gateway was killed."""
+        """Returns (status, headers, body); status 0 if the call failed, as
+        when the gateway was killed."""
         try:
             return self.fleet.call(self.path, ident, gateway, body=body)
         except Exception:  # pylint: disable=broad-except
--- a/tests/narrow_link.py
+++ b/tests/narrow_link.py
@@ -1,12 +1,13 @@
-"""A link between two regions: forwards connections to one address, all of them
-together at no more than a rate. Counts what crosses it towards the callers."""
+"""A link between two regions: a proxy that forwards connections to one address
+and limits their total rate towards the callers. Counts the bytes it sends to
+the callers."""
 import socket
 import threading
 import time
 
 from standin_platform import Server
 
-PART_BYTES = 65536  # a connection has so much in the queue, as its window
+CHUNK_BYTES = 65536  # a connection queues at most this, like a TCP window
 
 
 class NarrowLink(Server):
@@ -14,7 +15,7 @@
         self.target = target
         self.bytes_per_s = bytes_per_s
         self.sent = 0
-        self.free_at = 0.0  # when the link has sent all that it was given
+        self.free_at = 0.0  # time at which the link has sent all queued bytes
         super().__init__()
 
     def serve(self, conn):
@@ -28,14 +29,14 @@
     def dial(self):
         host, port = self.target.rsplit(":", 1)
         far = socket.socket()
-        far.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, PART_BYTES)
+        far.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, CHUNK_BYTES)
         far.connect((host, int(port)))
         return far
 
     def forward(self, source, sink, counted):
         try:
             while True:
-                data = source.recv(PART_BYTES)
+                data = source.recv(CHUNK_BYTES)
                 if not data:
                     break
                 if counted:
@@ -50,7 +51,7 @@
                 pass
 
     def wait(self, size):
-        """Until 'size' bytes more have left, behind all given before."""
+        """Waits until 'size' more bytes are sent, after all queued before."""
         with self.lock:
             self.sent += size
             now = time.monotonic()
--- a/tests/peer.py
+++ b/tests/peer.py
@@ -1,4 +1,4 @@
-"""A peer of the test's own: speaks frames to a gateway or a sidecar."""
+"""A peer played by the test: exchanges frames with a gateway or a sidecar."""
 import socket
 import struct
 import threading
@@ -30,9 +30,9 @@
     def take(self, size):
         data = b""
         while len(data) < size:
-            part = self.conn.recv(size - len(data))
-            assert part, "the other side closed the connection"
-            data += part
+            chunk = self.conn.recv(size - len(data))
+            assert chunk, "the other side closed the connection"
+            data += chunk
         return data
 
     def frame(self):
@@ -46,8 +46,8 @@
                 return frame.piece
 
     def piece_at_last(self, seconds=3):
-        """The first word that is not PENDING; that one is said again every
-        500 ms to those who wait."""
+        """Returns the first piece frame that is not PENDING. The other side
+        repeats PENDING every 500 ms to peers that wait."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
             piece = self.piece()
@@ -61,7 +61,7 @@
         return self.piece()
 
     def frames_for(self, seconds):
-        """All frames that have come and come for so long."""
+        """Returns the frames received so far and in the next 'seconds'."""
         got, end = [], time.monotonic() + seconds
         while time.monotonic() < end:
             self.conn.settimeout(max(end - time.monotonic(), 0.01))
@@ -73,7 +73,7 @@
         return got
 
     def frames_until_silence(self, seconds):
-        """All frames that come before none has come for 'seconds'."""
+        """Returns the frames received until none arrives for 'seconds'."""
         got = []
         self.conn.settimeout(seconds)
         try:
@@ -84,8 +84,8 @@
 
 
 class StubbornSidecar:
-    """A sidecar that says of every piece, again and again, that it will have
-    it; 'leave' takes it from the members, its connections stay open."""
+    """A sidecar that answers PENDING for every piece, again and again.
+    'leave' ends its membership; its connections stay open."""
 
     def __init__(self, gateway):
         self.listener = socket.create_server(("127.0.0.1", 0))
--- a/tests/silent_link.py
+++ b/tests/silent_link.py
@@ -1,14 +1,14 @@
-"""A link that goes silent: forwards connections to one address until it is
-told to hold its peace; then the open ones carry nothing more, either way, and
-are not closed, while new ones work."""
+"""A proxy that forwards connections to one address. After silence() the open
+connections carry nothing in either direction and are not closed; new ones
+work."""
 import socket
 import threading
 
 from rig import readable
 from standin_platform import Server
 
-PART_BYTES = 65536
-LOOK_S = 0.02  # between two looks at whether a connection went silent
+CHUNK_BYTES = 65536
+POLL_S = 0.02  # between checks whether a connection was silenced
 
 
 class SilentLink(Server):
@@ -24,7 +24,7 @@
         super().close()
 
     def silence(self):
-        """All connections that are open now say nothing more."""
+        """Stops forwarding on all connections that are open now."""
         with self.lock:
             self.silent = set(self.open)
 
@@ -38,20 +38,20 @@
             self.forward(conn, far, conn)
             back.join()
             if conn in self.silent:
-                self.ended.wait()  # neither side is told
+                self.ended.wait()  # neither side is closed
         self.open.discard(conn)
         conn.close()
 
     def forward(self, source, sink, conn):
-        """Until an end comes, or the connection goes silent."""
+        """Forwards until one side closes or the connection is silenced."""
         try:
             while True:
-                ready = readable(source, LOOK_S)
+                ready = readable(source, POLL_S)
                 if conn in self.silent:
                     return
                 if not ready:
                     continue
-                data = source.recv(PART_BYTES)
+                data = source.recv(CHUNK_BYTES)
                 if not data:
                     break
                 if conn not in self.silent:
--- a/tests/test_region_links.py
+++ b/tests/test_region_links.py
@@ -1,5 +1,5 @@
-"""A region far from the store: all of its gateways share one narrow link to
-it. The sizes are a tenth of what hurt on the users' bench (issue 17)."""
+"""A region far from the store: all of its gateways share one slow link to it.
+The sizes are a tenth of those at which these failures occurred."""
 import json
 import signal
 import time
@@ -11,15 +11,15 @@
 
 GATEWAYS = 6
 LINK_BYTES_PER_S = 400000
-MANY = 1600           # routes that are added
-APPLY_S = 3.0         # a configuration is in force everywhere by then
-DRAIN_S = 3.0         # a leaving engine is known everywhere by then
+ADDED_ROUTES = 1600
+APPLY_S = 3.0  # every gateway applies a configuration within this time
+DRAIN_S = 3.0  # every gateway knows a draining engine within this time
 
 
 def many_routes():
     return ROUTES + [{"name": f"more-{i}", "path-prefix": f"/more-{i}/x/",
                       "route-type": "safe", "service": "ledger",
-                      "max-attempts": 2} for i in range(MANY)]
+                      "max-attempts": 2} for i in range(ADDED_ROUTES)]
 
 
 def size_of(value):
@@ -36,7 +36,7 @@
         f.add_gateways(GATEWAYS, {"store": self.link.address})
         f.wait_ready()
         self.names = [f"g{i}" for i in range(GATEWAYS)]
-        wait_for("most to rest their reading of engines", lambda: sum(
+        wait_for("most gateways to suspend reading engines", lambda: sum(
             "heard from other gateways" in f.log(n) for n in self.names)
             >= GATEWAYS - 2)
         return self
@@ -45,26 +45,26 @@
         self.link.close()
         return self.fleet.__exit__(*exc)
 
-    def all_log(self, text):
+    def all_logged(self, text):
         return all(text in self.fleet.log(n) for n in self.names)
 
 
-def test_a_long_configuration_crosses_the_link_about_once():
-    """Bench: CONFIG. Each gateway drew the whole configuration through the
-    link, gave up before it was whole, and began again."""
+def test_a_large_configuration_crosses_the_link_about_once():
+    """Guards against each gateway reading the whole configuration over the
+    link, timing out before the read is complete, and starting again."""
     with FarRegion() as r:
         new = policy(2, r.fleet.origin.address, routes=many_routes())
         before = r.link.sent
         r.fleet.store.put("keyed.op", "config", new)
-        wait_for("all to have it in force",
-                 lambda: r.all_log("in force version=2"), APPLY_S)
+        wait_for("all gateways to apply it",
+                 lambda: r.all_logged("in force version=2"), APPLY_S)
         time.sleep(1.0)
         assert r.link.sent - before < 3 * size_of(new)
 
 
-def test_what_a_neighbour_told_is_not_read_again():
-    """Bench: gateways that had heard a configuration from others went on
-    reading it from the store, once a second, for as long as that failed."""
+def test_a_configuration_received_from_a_peer_is_not_read_again():
+    """Guards against gateways that received a configuration from peers and
+    still read it from the store, once a second, for as long as that failed."""
     with Fleet(gateways=0, plain=0) as f:
         link = NarrowLink(f.store.address, LINK_BYTES_PER_S)
         new = policy(2, f.origin.address, routes=many_routes())
@@ -73,38 +73,39 @@
         f.wait_ready()
         f.add_gateways(1, {"store": link.address})
         f.wait_ready()
-        wait_for("the second to hear it from the first",
+        wait_for("the second gateway to receive it",
                  lambda: "in force version=2" in f.log("g1"))
         time.sleep(1.0)
         assert link.sent < size_of(new) / 2
         link.close()
 
 
-def test_a_leaving_engine_is_known_beside_a_long_configuration():
-    """Bench: DRAIN. Reads of engines' records lay behind the configuration,
-    were given up and begun again."""
+def test_a_draining_engine_is_known_during_a_large_configuration():
+    """Guards against reads of engine records that queue behind the
+    configuration on the link, time out and start again."""
     with FarRegion() as r:
         f = r.fleet
         new = policy(2, f.origin.address, routes=many_routes())
         f.store.put("keyed.op", "config", new)
         time.sleep(0.2)
         f.store.put("keyed.servers", "p0", f.plain[0].record("draining"))
-        wait_for("all to know that it leaves",
-                 lambda: r.all_log("draining engine=p0"), DRAIN_S)
+        wait_for("all gateways to know the engine drains",
+                 lambda: r.all_logged("draining engine=p0"), DRAIN_S)
 
 
-def test_a_sidecar_that_joins_is_not_told_of_routes():
-    """Bench: 38 machines joined within seconds; each drew the configuration
-    from the store and once more from its gateway."""
+def test_a_joining_sidecar_is_not_sent_routes():
+    """When 38 machines joined within seconds, each sidecar read the
+    configuration from the store and once more from its gateway."""
     with Fleet(plain=0) as f:
         f.wait_ready()
         f.store.put("keyed.op", "config",
                     policy(2, f.origin.address, routes=many_routes()))
-        wait_for("routes", lambda: "in force version=2" in f.log("g0"))
-        side = Peer(f.peers[0], hello("side", follow=True))
-        told = [r for x in side.frames_for(0.5) for r in x.records.records]
-        assert [r.key for r in told] == ["config"]
-        assert len(told[0].value) < 4000
+        wait_for("the routes to be applied", lambda: "in force version=2" in f.log("g0"))
+        sidecar = Peer(f.peers[0], hello("side", follow=True))
+        records = [r for x in sidecar.frames_for(0.5)
+                   for r in x.records.records]
+        assert [r.key for r in records] == ["config"]
+        assert len(records[0].value) < 4000
         engine = f.add_engine("e0", "engines", "m1", 1)
         gateway = f.procs["g0"]
         wait_for("the gateway's own read to wait",
@@ -113,19 +114,20 @@
         time.sleep(0.1)
         reads = f.store.reads["keyed.op"]
         f.start_sidecar(0, engine)
-        time.sleep(1.0)  # the gateway is slow to greet it
+        time.sleep(1.0)  # the stopped gateway sends no hello
         assert f.store.reads["keyed.op"] == reads
         gateway.send_signal(signal.SIGCONT)
-        wait_for("the sidecar to know the configuration",
+        wait_for("the sidecar to apply the configuration",
                  lambda: "in force version=2" in f.log("s0"))
         time.sleep(0.5)
-        # the gateway itself waits for news in one read after the other
+        # the gateway itself long-polls the store in successive reads
         assert f.store.reads["keyed.op"] - reads <= 2
 
 
-def test_sidecars_do_not_read_the_store_for_a_gateway_that_knows_nothing():
-    """Once the store returns, gateways tell one another; a hundred sidecars
-    that had begun to ask would all be sent everything."""
+def test_sidecars_do_not_read_the_store_while_their_gateway_is_connected():
+    """The gateway has read nothing because its store is down. When the store
+    returns, gateways inform one another; a hundred sidecars that had begun to
+    read would each be sent everything."""
     with Fleet(gateways=1, plain=0, dark_stores=(0,)) as f:
         engine = f.add_engine("e0", "engines", "m1", 1)
         f.start_sidecar(0, engine)
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -1,21 +1,20 @@
-"""Open connections go silent for good, while new ones work.
-
-Seen: a third of the usual calls were answered to the end of the day, most
-engines stood idle while gateways refused calls for want of room; on such days
-calls also began on weights that were no longer in force.
-
-Course: each gateway hears the load of another on the connection that it has
-dialled, and writes nothing there. When that went silent nothing was left
-unacknowledged, so no timer of the kernel ran; the other side's close did not
-come through either. What had been told last stood for good: all places taken.
-Kept connections to engines and to the store were handed request after request,
-each of which waited for its own time-out.
-
-Cause: only the writing side of a connection could find out that it was dead,
-and what had been heard on it had no age at which it stops to count.
-
-Proof: the age of the load that choices rested on grew with the clock after the
-silence, and places were full in every refusal while engines turned nobody away.
+"""Open connections stop carrying data without being closed, while new
+connections work.
+
+A gateway receives another gateway's load on the connection that it dialled and
+writes nothing there. When such a connection stops carrying data, nothing is
+unacknowledged, no kernel timer runs, and the peer's close does not arrive. The
+last load received then stayed valid forever with all slots taken: one third of
+the usual calls were answered, most engines were idle, and gateways refused
+calls for lack of room while no engine refused any. The age of the load that
+gateways chose by grew with the clock. Calls also began on weights that were no
+longer in force.
+
+Kept connections to engines and to the store were given one request after
+another, and each request waited for its own timeout.
+
+The cause: only the writing side could detect a dead connection, and data
+received on a connection had no age at which it expired.
 """
 import http.client
 import json
@@ -32,24 +31,24 @@
 from standin_platform import events, send_chunk, start_stream, stream_from
 
 HEARTBEAT_S = 0.1
-NOTICED_S = 3.0  # a connection that went silent is known by then to be dead
+DETECT_S = 3.0  # a silent connection is treated as dead within this time
 
 
-class Gateway:
-    """A gateway of the test's own. It is dialled, greets, and says with every
-    heartbeat what it has open, on connections that did not go silent."""
+class FakeGateway:
+    """A gateway played by the test. It accepts connections, sends its hello,
+    and with every heartbeat sends frames on connections not silenced."""
 
-    def __init__(self, name, greets, frames):
+    def __init__(self, name, address, frames):
         self.listener = socket.create_server(("127.0.0.1", 0))
         port = self.listener.getsockname()[1]
         self.hello = hello(name, "gateway", address="127.0.0.1:%d" % port)
-        self.frames = frames  # a function: frames to send at a heartbeat
-        self.dialled = 0      # connections that greeted us
-        self.silenced = 0     # the first so many of them say nothing more
+        self.frames = frames  # function: the frames to send at a heartbeat
+        self.dialled = 0      # accepted connections that sent a hello
+        self.silenced = 0     # the first 'silenced' of them send nothing more
         self.ended = False
         self.conns = []
         threading.Thread(target=self.accept, daemon=True).start()
-        self.out = Peer(greets, self.hello)
+        self.out = Peer(address, self.hello)
 
     def accept(self):
         while True:
@@ -71,7 +70,7 @@
             peer.send(hello=self.hello)
             while not self.ended:
                 if number <= self.silenced:
-                    peer.frames_for(HEARTBEAT_S)  # is heard, not answered
+                    peer.frames_for(HEARTBEAT_S)  # read, never answered
                     continue
                 for body in self.frames():
                     peer.send(**body)
@@ -82,7 +81,7 @@
             pass
 
     def silence(self):
-        """What is open now says nothing more."""
+        """Sends nothing more on the connections that are open now."""
         self.silenced = self.dialled
 
     def close(self):
@@ -97,73 +96,78 @@
     return {"load": fleet_pb2.Load(engines=rows, whole=True, gateways=2)}
 
 
-def wait_for_room(f, room, ident):
-    """Until calls get room at the engine, or get none any more."""
-    n = [0]
+def room_is(f, room, ident):
+    """A condition for wait_for: a new call is accepted if 'room', else not."""
+    calls = [0]
 
-    def asked():
-        n[0] += 1
-        status, _, _ = f.call("/unsafe/x", f"{ident}-{n[0]}")
+    def call_and_check():
+        calls[0] += 1
+        status, _, _ = f.call("/unsafe/x", f"{ident}-{calls[0]}")
         return (status == 200) == room
-    return asked
+    return call_and_check
 
 
-def test_load_is_forgotten_when_its_connection_goes_silent():
+def test_load_expires_when_its_connection_goes_silent():
     with Fleet(plain=1) as f:
         f.wait_ready()
         opened = [f.plain[0].slots]
-        other = Gateway("other", f.peers[0],
+        other = FakeGateway("other", f.peers[0],
                         lambda: [load(f.plain[0].id, opened[0])])
-        wait_for("no room", wait_for_room(f, False, "before"), 5)
+        wait_for("calls to be refused", room_is(f, False, "before"), 5)
         other.silence()
         opened[0] = 0
-        wait_for("room again", wait_for_room(f, True, "after"), NOTICED_S)
+        wait_for("calls to be accepted again", room_is(f, True, "after"),
+                 DETECT_S)
         other.close()
 
 
-def test_load_is_heard_again_on_a_new_connection():
+def test_load_is_received_again_on_a_new_connection():
     with Fleet(plain=1) as f:
         f.wait_ready()
         opened = [0]
-        other = Gateway("other", f.peers[0],
+        other = FakeGateway("other", f.peers[0],
                         lambda: [load(f.plain[0].id, opened[0])])
-        wait_for("the other to be dialled", lambda: other.dialled == 1, 5)
+        wait_for("the gateway to dial the fake gateway",
+                 lambda: other.dialled == 1, 5)
         assert f.call("/unsafe/x", "before")[0] == 200
         other.silence()
         opened[0] = f.plain[0].slots
-        wait_for("no room", wait_for_room(f, False, "after"), NOTICED_S)
+        wait_for("calls to be refused", room_is(f, False, "after"), DETECT_S)
         assert other.dialled == 2
-        # one that rests between its words is not dialled again and again
+        # a peer that pauses between frames is not dialled repeatedly
         time.sleep(2.0)
         assert other.dialled == 2
         other.close()
 
 
-def test_a_quiet_peer_that_answers_keeps_its_connection():
+def test_an_idle_peer_that_answers_probes_keeps_its_connection():
     with Fleet(plain=0) as f:
         f.wait_ready()
-        quiet = Gateway("quiet", f.peers[0], lambda: [])
-        wait_for("the other to be dialled", lambda: quiet.dialled == 1, 5)
+        idle = FakeGateway("quiet", f.peers[0], lambda: [])
+        wait_for("the gateway to dial the fake gateway",
+                 lambda: idle.dialled == 1, 5)
         time.sleep(4.0)
-        assert quiet.dialled == 1
-        quiet.close()
+        assert idle.dialled == 1
+        idle.close()
 
 
-def test_load_that_is_told_no_more_is_forgotten():
-    """Its connection is well, and answers."""
+def test_load_that_is_no_longer_sent_expires():
+    """The connection that brought the load works and answers probes."""
     with Fleet(plain=1) as f:
         f.wait_ready()
-        words = [load(f.plain[0].id, f.plain[0].slots)]
-        other = Gateway("other", f.peers[0], lambda: words)
-        wait_for("no room", wait_for_room(f, False, "before"), 5)
-        words.clear()
-        wait_for("room again", wait_for_room(f, True, "after"), NOTICED_S)
+        frames = [load(f.plain[0].id, f.plain[0].slots)]
+        other = FakeGateway("other", f.peers[0], lambda: frames)
+        wait_for("calls to be refused", room_is(f, False, "before"), 5)
+        frames.clear()
+        wait_for("calls to be accepted again", room_is(f, True, "after"),
+                 DETECT_S)
         assert other.dialled == 1
         other.close()
 
 
-def test_a_peer_that_stood_still_keeps_its_connection():
-    """It answers on the old connection and on the second one at once."""
+def test_a_peer_that_was_stopped_keeps_its_connection():
+    """After SIGSTOP and SIGCONT the peer answers on the old connection and on
+    the second one at the same time; the old one must not be replaced."""
     with Fleet(gateways=2, plain=0) as f:
         f.wait_ready()
         time.sleep(1.0)
@@ -182,9 +186,10 @@
                             offset=offset, age_ms=0)
 
 
-def test_a_sidecar_hears_of_a_version_though_its_gateway_went_silent():
-    """It knew a version named in a silence only behind the version's bound,
-    and its engine went on with the old weights."""
+def test_a_sidecar_learns_of_a_version_when_its_gateway_goes_silent():
+    """Guards against a sidecar that learns of a version, published while the
+    connection is silent, only after the version's deadline, while its engine
+    continues on the old weights."""
     with Fleet(gateways=0, plain=0) as f:
         listener = socket.create_server(("127.0.0.1", 0))
         f.peers = ["127.0.0.1:%d" % listener.getsockname()[1]]
@@ -195,23 +200,23 @@
         first.conn = conn
         greeting = hello("only", "gateway", address=f.peers[0])
         first.send(hello=greeting)
-        wait_for("the sidecar to follow", lambda: any(
+        wait_for("the sidecar's follow request", lambda: any(
             frame.HasField("hello") and frame.hello.follow
             for frame in first.frames_for(0.2)), 5)
-        listener.settimeout(NOTICED_S)
-        again, _ = listener.accept()  # the first one says nothing more
+        listener.settimeout(DETECT_S)
+        again, _ = listener.accept()  # the first is silent
         second = Peer.__new__(Peer)
         second.conn = again
         second.send(hello=greeting)
-        wait_for("the sidecar to follow anew", lambda: any(
+        wait_for("the second follow request", lambda: any(
             frame.HasField("hello") and frame.hello.follow
-            for frame in second.frames_for(0.2)), NOTICED_S)
+            for frame in second.frames_for(0.2)), DETECT_S)
         for sock in (conn, again, listener):
             sock.close()
 
 
 def fill_pool(f, link, count):
-    """Leaves 'count' kept connections, by calls that are open at once."""
+    """Makes 'count' concurrent calls, which leave kept connections."""
     threads = [threading.Thread(target=f.call, args=("/safe/x", f"fill-{i}"))
                for i in range(count)]
     for t in threads:
@@ -221,21 +226,21 @@
     assert link.accepted >= 2
 
 
-def answers(f, count):
-    """(status, seconds) of so many calls at once."""
-    took = []
+def call_at_once(f, count):
+    """(status, seconds) of each of 'count' concurrent calls."""
+    results = []
 
     def one(i):
         begun = time.monotonic()
         status, _, _ = f.call("/safe/x", f"after-{i}")
-        took.append((status, time.monotonic() - begun))
+        results.append((status, time.monotonic() - begun))
 
     threads = [threading.Thread(target=one, args=(i,)) for i in range(count)]
     for t in threads:
         t.start()
     for t in threads:
         t.join()
-    return took
+    return results
 
 
 def slow_work(engine, conn, request):
@@ -243,8 +248,9 @@
     return engine.work(conn, request)
 
 
-def test_kept_connections_to_an_engine_are_not_used_once_one_was_mute():
-    """Each of them was handed a call, which waited for its own time-out."""
+def test_kept_connections_to_an_engine_are_unused_after_one_was_silent():
+    """Guards against giving each kept connection a call that waits for its
+    own timeout."""
     with Fleet(plain=2) as f:
         links = [SilentLink(e.address) for e in f.plain]
         for engine, link in zip(f.plain, links):
@@ -252,15 +258,15 @@
             record = engine.record() | {"address": link.address}
             f.store.put("keyed.servers", engine.id, record)
         f.wait_ready()
-        wait_for("engines behind links",
+        wait_for("the engines behind links to be known",
                  lambda: f.log("g0").count("engine=p") >= 2)
         fill_pool(f, links[0], 8)
         for link in links:
             link.silence()
         begun = time.monotonic()
-        f.call("/safe/x", "first")  # finds out
+        f.call("/safe/x", "first")  # detects the silence
         assert time.monotonic() - begun < 3
-        took = answers(f, 6)
+        took = call_at_once(f, 6)
         assert [status for status, _ in took] == [200] * 6, took
         assert max(seconds for _, seconds in took) < 1.0, took
         for link in links:
@@ -280,9 +286,9 @@
     return True
 
 
-def test_answers_that_all_stop_at_once_go_on_elsewhere():
-    """Calls that nobody heard any more held every place, so that none of them
-    could go on and no other was let in, until their callers gave up."""
+def test_streams_that_all_stop_at_once_resume_on_new_connections():
+    """Guards against calls on silent connections that hold every slot until
+    their callers time out: no call could resume and no other was admitted."""
     with Fleet(gateways=0, plain=2) as f:
         links = [SilentLink(e.address) for e in f.plain]
         for engine, link in zip(f.plain, links):
@@ -297,22 +303,22 @@
         def stream(i):
             try:
                 got.append(f.call("/stream/x", f"s-{i}", deadline=8000)[2])
-            except (OSError, http.client.HTTPException) as cut:
-                got.append(cut)
+            except (OSError, http.client.HTTPException) as error:
+                got.append(error)
 
-        places = sum(e.slots for e in f.plain)
+        slots = sum(e.slots for e in f.plain)
         threads = [threading.Thread(target=stream, args=(i,))
-                   for i in range(places)]
+                   for i in range(slots)]
         for t in threads:
             t.start()
-        wait_for("all places to be taken",
-                 lambda: sum(len(e.ran) for e in f.plain) == places, 5)
+        wait_for("all slots to be taken",
+                 lambda: sum(len(e.ran) for e in f.plain) == slots, 5)
         time.sleep(4 * EVENT_S)
         for link in links:
             link.silence()
         for t in threads:
             t.join()
-        assert got == [whole] * places, [g for g in got if g != whole]
+        assert got == [whole] * slots, [g for g in got if g != whole]
         for link in links:
             link.close()
 
@@ -332,8 +338,8 @@
 
 
 class PausingStreams:
-    """Streams at two engines that all pause at the same moment and go on: what
-    looks like a silence is none."""
+    """Streams at two engines that all pause at the same moment and continue:
+    the pause looks like dead connections, but the connections work."""
 
     def __init__(self, f, count):
         self.got = []
@@ -352,28 +358,30 @@
             t.join()
 
 
-def test_answers_that_pause_and_go_on_are_left_alone():
-    """Nothing may be sent again here (no retry is allowed). Taken for dead,
-    their places were given away for good, and engines got more than they take;
-    a moment later they were cut, though they flowed."""
+def test_streams_that_pause_and_continue_are_not_cut():
+    """Retries are off. Guards against treating paused streams as dead: their
+    slots were released for good, engines received more calls than they accept,
+    and the streams were cut soon afterwards although they carried data."""
     with Fleet(gateways=0, plain=2) as f:
         f.add_gateways(1, {"retry_allowance": 0, "retry_ratio": 0.0})
         f.wait_ready()
         streams = PausingStreams(f, 8)
-        wait_for("all to run", lambda: sum(len(e.ran) for e in f.plain) == 8, 5)
-        wait_for("the pause", lambda: "mute address=all" in f.log("g0"), 3)
+        wait_for("all streams to run",
+                 lambda: sum(len(e.ran) for e in f.plain) == 8, 5)
+        wait_for("the pause to be noticed",
+                 lambda: "mute address=all" in f.log("g0"), 3)
         time.sleep(PAUSE_S - 0.2)
-        # they flow again, and hold their places
+        # the streams carry data again and hold their slots
         assert f.call("/stream/x", "one-more", deadline=500)[0] == 503
         streams.join()
         assert streams.got == [events(0, STREAM_EVENTS - 1)] * 8
         assert sum(len(e.ran) for e in f.plain) == 8
 
 
-def test_a_call_is_cut_before_a_bound_whatever_its_connection_says():
-    """A call that waits at its engine is cut 0.9 s before the bound of a newer
-    version. One whose connection had been taken for dead was left there, and
-    would have begun on the old weights behind the bound."""
+def test_a_call_is_cut_before_a_deadline_on_a_suspected_connection():
+    """A call that waits at its engine is cut 0.9 s before the deadline of a
+    newer version. Guards against leaving a call whose connection was treated as
+    dead: it would have begun on the old weights after the deadline."""
     with Fleet(gateways=0, plain=2, version_ms=4000) as f:
         engine = f.add_engine("e0", "engines", MODEL, 1)
         f.store.put("keyed.op", "config",
@@ -381,9 +389,9 @@
         f.add_gateways(1, {"retry_allowance": 0, "retry_ratio": 0.0})
         f.wait_ready()
         f.start_sidecar(0, engine)
-        wait_for("the engine", lambda: "told engine=e0 version=1"
+        wait_for("the engine's version", lambda: "told engine=e0 version=1"
                  in f.log("g0"))
-        assert f.call("/model/x", "before")[0] == 200  # leaves a connection
+        assert f.call("/model/x", "before")[0] == 200  # leaves a kept one
         held = threading.Event()
         engine.behave = lambda *_: held.wait(20) and False
         f.origin.take_down()  # the engine stays on the old weights
@@ -409,15 +417,15 @@
         link.silence()
         f.store.put("keyed.op", f"version/{MODEL}",
                     {"model": MODEL, "version": 2})
-        # one read that waits (2 s) and is given up (0.8 s), then a new one
+        # one read that waits (2 s) and is abandoned (0.8 s), then a new one
         wait_for("the version", lambda: "named model=m1 version=2"
                  in f.log("g0"), 4.0)
         link.close()
 
 
-def test_a_sidecar_reaches_its_engine_again_on_a_new_connection():
-    """Each of its kept connections waited for a report in vain; gateways took
-    the engine for unreachable meanwhile."""
+def test_a_sidecar_reconnects_to_its_engine_after_silence():
+    """Guards against waiting for a report on each kept connection in turn,
+    while gateways treat the engine as unreachable."""
     with Fleet(plain=0) as f:
         f.wait_ready()
         engine = f.add_engine("e0", "engines", MODEL, 1)
@@ -427,38 +435,39 @@
         f.start_sidecar(0, engine)
         f.store.put("keyed.op", f"version/{MODEL}",
                     {"model": MODEL, "version": 2})
-        # pieces are put and read back over several connections at once
+        # pieces are written and read back on several connections at once
         wait_for("the new version", lambda:
                  "told engine=e0 version=2" in f.log("g0"), 10)
         assert link.accepted >= 4
         link.silence()
-        wait_for("the sidecar to miss it", lambda:
+        wait_for("the sidecar to report the engine unreachable", lambda:
                  "reports reachable=0" in f.log("s0"), 3)
-        wait_for("the sidecar to reach it again", lambda:
+        wait_for("the sidecar to reach the engine again", lambda:
                  f.log("s0").rindex("reports reachable=1") >
                  f.log("s0").rindex("reports reachable=0"), 1.2)
         link.close()
 
 
 class Readers:
-    """Gateways that read the store for the one under test, which rests its
-    reading, and that know of one record more than it does."""
+    """Fake gateways that read the store, which lets the gateway under test
+    suspend its own reads, and that report one record more than it has."""
 
     def __init__(self, f):
         self.known = len(f.store.records("keyed.op"))
         changed = len(f.store.records("keyed.servers"))
 
-        def words():
+        def frames():
             return [{"load": fleet_pb2.Load(
                 whole=True, gateways=3, control_offset=self.known,
                 reads_engines=True, engines_changed=changed)}]
 
-        # so many that two of them come before it in the order of readers
-        self.all = [Gateway(f"reader{i}", f.peers[0], words) for i in range(9)]
-        wait_for("the gateway to let its reading rest", lambda:
+        # nine, which puts two of them before it in the order of readers
+        self.all = [FakeGateway(f"reader{i}", f.peers[0], frames)
+                    for i in range(9)]
+        wait_for("the gateway to suspend its reads", lambda:
                  "heard from other gateways" in f.log("g0"), 8)
 
-    def name_version(self, f):
+    def publish_version(self, f):
         f.store.put("keyed.op", f"version/{MODEL}",
                     {"model": MODEL, "version": 2})
         self.known += 1
@@ -470,32 +479,32 @@
             r.close()
 
 
-def test_who_is_behind_and_has_nobody_to_ask_reads_the_store():
-    """A gateway let its reading rest, as two others read. It heard from them
-    that a version had been named; the connections on which it asks had gone. It
-    knew the version 7 s later, when an engine had changed."""
+def test_a_gateway_behind_with_no_peer_to_ask_reads_the_store():
+    """A gateway had suspended its reads because two others read. They reported
+    a new version, but the connections on which the gateway asks were closed.
+    The gateway learned the version 7 s later, when an engine had changed."""
     with Fleet(plain=0) as f:
         f.wait_ready()
         readers = Readers(f)
         for r in readers.all:
             r.out.conn.close()
         time.sleep(0.3)
-        readers.name_version(f)
+        readers.publish_version(f)
         assert "asked=-" in f.log("g0")
         readers.close()
 
 
-def test_who_is_behind_and_asks_in_vain_reads_the_store():
+def test_a_gateway_behind_whose_peers_do_not_answer_reads_the_store():
     with Fleet(plain=0) as f:
         f.wait_ready()
         readers = Readers(f)
-        readers.name_version(f)
+        readers.publish_version(f)
         assert "asked=reader" in f.log("g0")
         readers.close()
 
 
 def is_closed(peer, within):
-    """Whether the other side closes the connection; what comes is read."""
+    """Whether the peer closes the connection in time; discards what it sends."""
     end = time.monotonic() + within
     while time.monotonic() < end:
         peer.conn.settimeout(0.05)
@@ -507,22 +516,24 @@
     return False
 
 
-def test_a_connection_that_its_dialler_replaced_is_dead_to_both():
-    """The dialler replaces a mute connection by a new one and closes it, which
-    does not come through. What was accepted then stayed open for good: it kept
-    a descriptor, and questions were asked on it in vain."""
+def test_a_connection_replaced_by_its_dialler_is_closed_by_both_sides():
+    """The dialler replaces a silent connection by a new one and closes the old
+    one, but the close does not arrive. Guards against the accepted side staying
+    open forever: it held a descriptor, and requests on it got no answer."""
     with Fleet() as f:
         f.wait_ready()
-        told = hello("again", "gateway")
-        first = Peer(f.peers[0], told)
-        wait_for("the greeting", lambda: "name=again" in f.log("g0"))
-        assert not is_closed(first, 0.6)  # and is quiet for so long
-        second = Peer(f.peers[0], told)
+        greeting = hello("again", "gateway")
+        first = Peer(f.peers[0], greeting)
+        wait_for("the hello to be logged",
+                 lambda: "name=again" in f.log("g0"))
+        assert not is_closed(first, 0.6)  # silent for 0.6 s
+        second = Peer(f.peers[0], greeting)
         assert is_closed(first, 1)
-        wait_for("the line", lambda: "superseded" in f.log("g0"))
-        # one that speaks may be alive: its dialler decides
+        wait_for("the replacement to be logged",
+                 lambda: "superseded" in f.log("g0"))
+        # a connection that sends may be alive: its dialler decides
         second.send(probe=fleet_pb2.Probe(answer=True))
-        third = Peer(f.peers[0], told)
+        third = Peer(f.peers[0], greeting)
         assert not is_closed(second, 0.2)
         for peer in (first, second, third):
             peer.conn.close()
