--- a/tests/linked_fleet.py
+++ b/tests/linked_fleet.py
@@ -1,5 +1,5 @@
-"""Gateways behind links that can be cut. The gateways can be killed, frozen and
-restarted while callers continue to send calls."""
+"""Gateways behind links that can be cut. The gateways can be killed, frozen
+and restarted while callers continue to send calls."""
 import random
 import signal
 import threading
--- a/tests/test_region_links.py
+++ b/tests/test_region_links.py
@@ -100,7 +100,8 @@
         f.wait_ready()
         f.store.put("keyed.op", "config",
                     policy(2, f.origin.address, routes=many_routes()))
-        wait_for("the routes to be applied", lambda: "in force version=2" in f.log("g0"))
+        wait_for("the routes to be applied",
+                 lambda: "in force version=2" in f.log("g0"))
         sidecar = Peer(f.peers[0], hello("side", follow=True))
         records = [r for x in sidecar.frames_for(0.5)
                    for r in x.records.records]
@@ -124,7 +125,7 @@
         assert f.store.reads["keyed.op"] - reads <= 2
 
 
-def test_sidecars_do_not_read_the_store_while_their_gateway_is_connected():
+def test_sidecars_do_not_read_the_store_when_their_gateway_has_no_records():
     """The gateway has read nothing because its store is down. When the store
     returns, gateways inform one another; a hundred sidecars that had begun to
     read would each be sent everything."""
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -112,7 +112,7 @@
         f.wait_ready()
         opened = [f.plain[0].slots]
         other = FakeGateway("other", f.peers[0],
-                        lambda: [load(f.plain[0].id, opened[0])])
+                            lambda: [load(f.plain[0].id, opened[0])])
         wait_for("calls to be refused", room_is(f, False, "before"), 5)
         other.silence()
         opened[0] = 0
@@ -126,7 +126,7 @@
         f.wait_ready()
         opened = [0]
         other = FakeGateway("other", f.peers[0],
-                        lambda: [load(f.plain[0].id, opened[0])])
+                            lambda: [load(f.plain[0].id, opened[0])])
         wait_for("the gateway to dial the fake gateway",
                  lambda: other.dialled == 1, 5)
         assert f.call("/unsafe/x", "before")[0] == 200
@@ -380,8 +380,8 @@
 
 def test_a_call_is_cut_before_a_deadline_on_a_suspected_connection():
     """A call that waits at its engine is cut 0.9 s before the deadline of a
-    newer version. Guards against leaving a call whose connection was treated as
-    dead: it would have begun on the old weights after the deadline."""
+    newer version. Guards against leaving a call whose connection was treated
+    as dead: it would have begun on the old weights after the deadline."""
     with Fleet(gateways=0, plain=2, version_ms=4000) as f:
         engine = f.add_engine("e0", "engines", MODEL, 1)
         f.store.put("keyed.op", "config",
@@ -504,7 +504,7 @@
 
 
 def is_closed(peer, within):
-    """Whether the peer closes the connection in time; discards what it sends."""
+    """Whether the peer closes within 'within' seconds; discards its data."""
     end = time.monotonic() + within
     while time.monotonic() < end:
         peer.conn.settimeout(0.05)
@@ -518,8 +518,9 @@
 
 def test_a_connection_replaced_by_its_dialler_is_closed_by_both_sides():
     """The dialler replaces a silent connection by a new one and closes the old
-    one, but the close does not arrive. Guards against the accepted side staying
-    open forever: it held a descriptor, and requests on it got no answer."""
+    one, but the close does not arrive. Guards against the accepted side
+    staying open forever: it held a descriptor, and requests on it got no
+    answer."""
     with Fleet() as f:
         f.wait_ready()
         greeting = hello("again", "gateway")
