--- a/src/fleet/qr_engines.h
+++ b/src/fleet/qr_engines.h
@@ -67,7 +67,7 @@
     uint64_t record_changed_ms; /* last update or removal of the record */
     QRPosition position;        /* of the newest record, if any was seen */
     bool gone;                  /* the record was removed: no new calls */
-    uint64_t record_expired_ms; /* expired during a store outage; 0: no */
+    uint64_t record_expired_ms; /* when it expired in a store outage; 0: not */
     bool unreadable;     /* the newest record is malformed: no new calls */
     bool superseded;     /* another engine has a newer record with the same
                             address: no new calls */
--- a/src/fleet/qr_members.h
+++ b/src/fleet/qr_members.h
@@ -25,7 +25,7 @@
     QRPosition engines_since;   /* the member knows all changes from here on */
     uint64_t load_reported_ms;  /* last load report; 0: no valid report */
     unsigned gateways;          /* number of gateways that the member knows */
-    unsigned gateways_asked; /* that number when the list was last requested */
+    unsigned gateways_asked; /* 'gateways' when the list was last requested */
     bool leaving;
     bool reserves_slots; /* in its own Hello; older builds do not set this */
     /* sidecars only, as reported */
--- a/src/gateway/qr_balance.c
+++ b/src/gateway/qr_balance.c
@@ -417,7 +417,7 @@
     best = samples_best(&preferred, in);
     if (!best) {
         best = samples_best(&overloaded, in);
-        c.despite_rest = best != NULL;
+        c.ignores_backoff = best != NULL;
     }
     if (best)
         fill_choice(&c, best, in);
--- a/src/gateway/qr_balance.h
+++ b/src/gateway/qr_balance.h
@@ -49,7 +49,7 @@
     unsigned engine_open, engine_slots; /* at 'engine' */
     bool needs_slot;        /* a slot has to be requested there first */
     QRBalanceLimits limits; /* conditions of that request */
-    bool despite_rest;      /* 'engine' is resting after it rejected calls */
+    bool ignores_backoff;   /* 'engine' is in backoff after it rejected calls */
 } QRBalanceChoice;
 
 /* Chooses among the engines of in->service. */
--- a/src/gateway/qr_gateway.h
+++ b/src/gateway/qr_gateway.h
@@ -176,8 +176,8 @@
    come before others, in an order given by a hash of name and 'dice'. */
 uint64_t qr_gateway_peer_rank(const QRGateway *g, const QRFleetMember *m,
                               uint64_t dice);
-/* Number of live gateways of our region that come before us in asking other
-   regions; 'what' seeds the order. */
+/* Returns how many live gateways of our region ask other regions before this
+   one does; 'what' seeds their order. */
 unsigned qr_gateway_region_rank(const QRGateway *g, uint64_t what,
                                 uint64_t now_ms);
 /* Number of known gateways that are not leaving, including this one. */
@@ -200,7 +200,7 @@
    'leaves': the record says that the engine is leaving or has gone. */
 void qr_gateway_keep_engine_change(QRGateway *g, const QRStoreRecord *r,
                                    bool leaves);
-/* Drops changes of engines that went 10 minutes ago. */
+/* Drops changes of engines that were removed more than 10 minutes ago. */
 void qr_gateway_expire_engine_changes(QRGateway *g, uint64_t now_ms);
 /* Whether a known change of the engine supersedes a record at 'position';
    'leaves' as in qr_gateway_keep_engine_change(). */
@@ -272,14 +272,14 @@
 uint64_t qr_gateway_version_in_force(const QRGateway *g,
                                      const QRService *service,
                                      uint64_t margin_ms, uint64_t now_ms);
-/* A request for a slot for one call. QRSlotCall in qr_slots.h explains the
-   fields. */
+/* A request for a slot for one call. QRSlotCall in fleet/qr_slots.h explains
+   the fields. */
 typedef struct QRSlotRequest {
     uint32_t call; /* number of the request */
-    unsigned prompt, open_most, reading_most;
+    unsigned prompt, max_open, max_reading;
     bool returned;
     unsigned denials;
-    bool despite_rest;
+    bool ignores_backoff;
 } QRSlotRequest;
 
 /* Asks the coordinator of the engine's slots for one. The coordinator must
--- a/src/gateway/qr_gateway_share.c
+++ b/src/gateway/qr_gateway_share.c
@@ -259,7 +259,8 @@
            !answered_others && g->isolated_ms <= out.first_ms;
 }
 
-/* Whether the store itself is away, rather than two readers or one read. */
+/* Whether the store has been away for longer than two failed readers or one
+   failed read can explain. */
 static bool is_store_away(const QRGateway *g, uint64_t now_ms)
 {
     return g->store_away_since_ms > 0 &&
--- a/src/gateway/qr_gateway_slots.c
+++ b/src/gateway/qr_gateway_slots.c
@@ -55,11 +55,11 @@
 
     request.call = wish->call;
     request.prompt = wish->prompt;
-    request.open_most = wish->open_most;
-    request.reading_most = wish->reading_most;
+    request.open_most = wish->max_open;
+    request.reading_most = wish->max_reading;
     request.returned = wish->returned;
     request.denials = wish->denials;
-    request.heeds_rest = !wish->despite_rest;
+    request.heeds_rest = !wish->ignores_backoff;
     request.open = qr_engine_held(e);
     request.reading = qr_engine_held_reading(e);
     request.rest_ms = (uint32_t)qr_engine_deprioritized_ms(e, now);
--- a/src/gateway/qr_relay_parts.h
+++ b/src/gateway/qr_relay_parts.h
@@ -51,7 +51,7 @@
 } QRAttempt;
 
 /* The request for a slot at an engine, made before the call is sent there. An
-   engine rests while it wants no requests from some gateway. */
+   engine is in backoff while it asks some gateway to send no requests. */
 typedef struct QRRelaySlot {
     char *engine;     /* id; NULL: no request is open */
     uint32_t request; /* its number */
@@ -59,10 +59,10 @@
     unsigned requests, denied; /* requests so far; denied ones */
     bool at_full_limits;   /* the last one: its limits were the full ones, see
                               qr_balance_tighten_limits() */
-    bool despite_rest;     /* the last one: also if the engine rests */
+    bool ignores_backoff;  /* the last one: also during the engine's backoff */
     bool is_retry;         /* the last one: for a retry */
     unsigned full_denials; /* denied requests with full limits */
-    unsigned rest_denials; /* denied because the engine rests */
+    unsigned backoff_denials; /* denied because of the engine's backoff */
 } QRRelaySlot;
 
 struct QRRelay {
--- a/src/gateway/qr_relay_send.c
+++ b/src/gateway/qr_relay_send.c
@@ -326,7 +326,7 @@
     QRBalanceChoice c;
 
     if (r->slot.engine)
-        return; /* the reply decides */
+        return; /* the reply to the slot request continues the call */
     if (suspicion == QR_SUSPICION_HELD) {
         qr_relay_finish_locally(
             r, 503, QR_COUNTER_refused_held,
--- a/src/gateway/qr_relay_slot.c
+++ b/src/gateway/qr_relay_slot.c
@@ -9,7 +9,7 @@
 #define SLOT_REPLY_TIMEOUT_MS 60
 /* For this time a coordinator that did not reply gets no requests, and its
    engine is used like one without a coordinator. */
-#define COORDINATOR_MUTE_MS 1000
+#define COORDINATOR_AVOID_MS 1000
 /* An engine without a free slot gets no further request for this time: a slot
    becomes free every 100 ms (12 slots, calls of 1.2 s). */
 #define DENIED_BACKOFF_MS 25
@@ -19,11 +19,11 @@
 
 /* After this many denials by engines that asked other gateways to send nothing,
    the next engine is used regardless: all engines may ask so now and then. */
-#define REST_DENIALS_MAX 2
+#define BACKOFF_DENIALS_MAX 2
 
-/* Longest time for which a rest that an engine asked of another gateway is
+/* Longest time for which a backoff that an engine asked of another gateway is
    respected here: the engine may mean that gateway only. */
-#define REST_MAX_MS 5000
+#define OTHERS_BACKOFF_MAX_MS 5000
 
 /* This many engines are asked in direct succession, then one per tick. */
 #define REQUESTS_AT_ONCE 6
@@ -71,15 +71,15 @@
         qr_balance_tighten_limits(&c->limits, r->slot.requests);
     QRSlotRequest wish;
 
-    r->slot.despite_rest =
-        c->despite_rest || r->slot.rest_denials >= REST_DENIALS_MAX;
+    r->slot.ignores_backoff =
+        c->ignores_backoff || r->slot.backoff_denials >= BACKOFF_DENIALS_MAX;
     wish = (QRSlotRequest){
         .prompt = r->prompt_tokens,
-        .open_most = terms.max_open_calls,
-        .reading_most = terms.max_unread_tokens,
+        .max_open = terms.max_open_calls,
+        .max_reading = terms.max_unread_tokens,
         .returned = r->late,
         .denials = r->slot.full_denials,
-        .despite_rest = r->slot.despite_rest,
+        .ignores_backoff = r->slot.ignores_backoff,
     };
 
     /* 0 means no request */
@@ -120,14 +120,14 @@
 {
     bool for_limit = qr_engine_limit(e)->is_set && result->limit_wait_ms > 0;
     bool for_rest =
-        !r->slot.despite_rest && now < e->slots.others_backoff_until_ms;
+        !r->slot.ignores_backoff && now < e->slots.others_backoff_until_ms;
 
     r->slot.denied++;
     qr_relay_count(r->g, QR_COUNTER_slots_denied);
     if (for_limit) {
         qr_relay_count(r->g, QR_COUNTER_slots_paced);
     } else if (for_rest) {
-        r->slot.rest_denials++;
+        r->slot.backoff_denials++;
     } else {
         r->slot.full_denials += r->slot.at_full_limits;
         e->slots.denied_until_ms = now + DENIED_BACKOFF_MS;
@@ -145,7 +145,7 @@
         qr_gateway_set_others_load(e, result->others_open,
                                    result->others_reading, now);
         e->slots.others_backoff_until_ms =
-            now + MIN(result->rest_ms, REST_MAX_MS);
+            now + MIN(result->rest_ms, OTHERS_BACKOFF_MAX_MS);
         if (!store_limit(r, e, result, now)) {
             note_slot_denied(r, e, result, now);
         } else if (qr_relay_suspicion(r) <= QR_SUSPICION_TRIAL &&
@@ -177,7 +177,7 @@
     qr_relay_count(r->g, QR_COUNTER_slots_unanswered);
     e = end_slot_request(r);
     if (e) {
-        e->slots.unresponsive_until_ms = now_ms + COORDINATOR_MUTE_MS;
+        e->slots.unresponsive_until_ms = now_ms + COORDINATOR_AVOID_MS;
         qr_logf(QR_LEVEL_WARN, "engines",
                 "slot request unanswered engine=%s id=%s", e->record->id,
                 r->id);
--- a/src/gateway/qr_sse.h
+++ b/src/gateway/qr_sse.h
@@ -11,7 +11,8 @@
     GString *partial; /* bytes of an event whose end is still missing */
     char *last_id;    /* of the last whole event with an id, or NULL */
     bool in_order;    /* false: an event was repeated, or one is missing */
-    uint64_t last_number, count; /* last_id as a number; whole events */
+    uint64_t last_number, count; /* last_id as a number; number of whole
+                                    events */
     bool is_numbered;            /* ids are numbers, last_number is valid */
 } QRSse;
 
--- a/src/net/qr_client_parts.h
+++ b/src/net/qr_client_parts.h
@@ -37,7 +37,8 @@
     uint64_t opened_ms;
     uint64_t received_ms; /* last received bytes; 0: none yet */
     size_t unacked;       /* unacknowledged bytes at the last check */
-    uint64_t unacked_since_ms, next_check_ms; /* for 'unacked' */
+    /* last change and next check of 'unacked' */
+    uint64_t unacked_since_ms, next_check_ms;
     QRClientProbeDone probe_done; /* NULL unless opened by qr_client_probe() */
     void *probe_owner;
     unsigned skipped; /* answers to earlier requests, ignored */
--- a/src/net/qr_client_silence.c
+++ b/src/net/qr_client_silence.c
@@ -20,7 +20,8 @@
 /* All answers in flight pause together for this long. That is longer than the
    pauses allowed to streams, and engines pause independently. */
 #define ALL_QUIET_MS 450
-#define ALL_QUIET_ANSWERS_MIN 3 /* started, from several addresses */
+/* Answers that have started, from several addresses. */
+#define ALL_QUIET_ANSWERS_MIN 3
 /* Connections to two addresses go silent within this time, which covers a
    stalled call in between: neither address is the cause, and connections to
    other addresses are suspect too. */
--- a/src/sidecar/qr_pieces.c
+++ b/src/sidecar/qr_pieces.c
@@ -281,7 +281,8 @@
 {
     if (now_ms >= s->link_slow_until_ms)
         return false;
-    /* incoming pieces will show the speed; until then the link stays slow */
+    /* the pieces being received will show the link's speed; until then the
+       link counts as slow */
     if (s->targets && count_incoming(s) > 0)
         s->link_slow_until_ms =
             MAX(s->link_slow_until_ms, now_ms + SLOW_LINK_MS);
--- a/src/sidecar/qr_progress.c
+++ b/src/sidecar/qr_progress.c
@@ -3,8 +3,8 @@
  */
 #include "qr_progress.h"
 
-/* After so long without any piece of a version, the origin is unavailable
-   rather than one source. */
+/* After this time without any piece of a version from any source, the origin is
+   considered unavailable, and not only one source. */
 #define STALLED_AFTER_MS 1000
 
 static bool is_stalled(const QRProgress *p, uint64_t now_ms)
--- a/src/sidecar/qr_sidecar.h
+++ b/src/sidecar/qr_sidecar.h
@@ -33,7 +33,7 @@
     bool verified;        /* read back after staging and found intact */
     uint64_t verified_ms; /* when it was read back */
     QRSourceAttempts attempts;
-    QRPieceRole role;        /* in which peers ask this sidecar for it */
+    QRPieceRole role;        /* role in which peers ask this sidecar for it */
     bool uses_role;          /* its source follows 'role': waiting failed */
     bool from_root;          /* the peer asked is a root, not a relay */
     bool asked;              /* a peer was asked at 'asked_ms' */
@@ -107,7 +107,7 @@
     /* weights */
     char *model;
     GPtrArray *targets; /* QRTarget *, older first; the last is the newest */
-    uint64_t staged_version;  /* last put at the engine; 0: not known */
+    uint64_t staged_version;  /* last one staged at the engine; 0: not known */
     uint64_t staging_version; /* version that is being staged */
     GArray *waiters;          /* QRWaiter: for pieces not held yet */
     GQueue uploads; /* QRWaiter *: pieces to send, by upload_priority */
@@ -116,7 +116,7 @@
     uint64_t link_slow_until_ms; /* see qr_link_is_slow() */
     uint64_t pending_refresh_ms; /* next PENDING reply to the waiters */
     uint64_t origin_retry_ms;    /* no request to the origin before this time */
-    uint64_t origin_used_ms;     /* last reply of the origin; 0: none idle */
+    uint64_t origin_used_ms;     /* its last reply; 0: no idle connection */
     double piece_window;         /* limit of pieces requested at once */
     /* the order to the engine to start a version */
     QRBufferedCall *order_call;
--- a/src/sidecar/qr_stage.c
+++ b/src/sidecar/qr_stage.c
@@ -13,15 +13,15 @@
 #define ORDER_TIMEOUT_MS 1500
 #define ORDER_RETRY_MS 300
 #define VERIFY_VALID_MS 2000 /* a read-back check is valid for so long */
-/* For the announcement to reach gateways, and for calls that they have sent
-   to reach the engine. */
+/* Time for the announcement to reach gateways, and for calls that they have
+   already sent to reach the engine. */
 #define ANNOUNCE_DELAY_MS 80
 #define DRAIN_TIMEOUT_MS 1200 /* for calls at the engine to end */
 #define CUT_STREAMS_MAX 4     /* running streams that a start may cut */
 #define SWITCH_LEAD_MS 2200   /* by then the first sidecars have all pieces */
-/* So long before the bound, gateways require the new version. */
+/* Gateways require the new version this long before its bound. */
 #define GATEWAY_MARGIN_MS 1000
-/* So long before the bound, the last engine is ordered to start. */
+/* The last engine is ordered to start this long before the bound. */
 #define LAST_ORDER_MARGIN_MS 1200
 
 /*
--- a/tests/unit_limits.c
+++ b/tests/unit_limits.c
@@ -17,17 +17,15 @@
 enum {
     GATEWAYS = 9,
     RUN_MS = 40000,
-    CALLS_PER_S = 12,      /* calls of each gateway */
-    REPLY_TIMEOUT_MS = 60, /* timeout of a request for a slot */
-    AVOID_COORDINATOR_MS =
-        1000,            /* then the coordinator is not asked for this time */
-    MAX_PACED_MS = 1000, /* longest pause for the rate limit */
-    COORDINATOR_VIEW_LAG_MS =
-        400,                      /* until all gateways see a new coordinator */
-    COORDINATOR_CHANGE_MS = 3500, /* between two changes of the coordinator */
-    RESTART_MS = 2500,            /* between two restarts of gateways */
-    FIRST_LIMIT_MS = 2000,        /* when the engine first announces a limit */
-    LIMIT_CHANGE_MS = 9000,       /* between two changes of the limit */
+    CALLS_PER_S = 12,              /* calls of each gateway */
+    REPLY_TIMEOUT_MS = 60,         /* timeout of a request for a slot */
+    COORDINATOR_AVOID_MS = 1000,   /* no requests to it after a timeout */
+    MAX_PACED_MS = 1000,           /* longest pause for the rate limit */
+    COORDINATOR_VIEW_LAG_MS = 400, /* until all gateways see a new one */
+    COORDINATOR_CHANGE_MS = 3500,  /* between two changes of the coordinator */
+    RESTART_MS = 2500,             /* between two restarts of gateways */
+    FIRST_LIMIT_MS = 2000,         /* when the engine first announces a limit */
+    LIMIT_CHANGE_MS = 9000,        /* between two changes of the limit */
     SETTLE_MS = 3000,     /* from the first limit until sums are checked */
     TOLD_SETTLE_MS = 500, /* a gateway counts this long after it is told */
     WINDOW_MS = 4000,
@@ -308,7 +306,7 @@
     }
     if (g->asked && m->now_ms >= g->asked_ms + REPLY_TIMEOUT_MS) {
         g->asked = 0;
-        g->avoid_coordinator_until_ms = m->now_ms + AVOID_COORDINATOR_MS;
+        g->avoid_coordinator_until_ms = m->now_ms + COORDINATOR_AVOID_MS;
     }
     if (chance(m, CALLS_PER_S / 1000.0))
         start_call(m, i);
--- a/tests/unit_notices.c
+++ b/tests/unit_notices.c
@@ -301,7 +301,7 @@
     /* an engine that others back off from is used if it is the only one */
     e->slots.others_backoff_until_ms = c.in.now_ms + 1000;
     found = qr_balance_choose(&c.engines, &c.in);
-    ck_assert(found.engine == e && found.despite_rest);
+    ck_assert(found.engine == e && found.ignores_backoff);
     choice_clear(&c);
 }
 END_TEST
