--- a/src/gateway/qr_balance.h
+++ b/src/gateway/qr_balance.h
@@ -27,7 +27,8 @@
     uint64_t random;
 } QRBalanceInput;
 
-/* The conditions on which the keeper of an engine's slots may grant one. */
+/* The conditions on which the coordinator of an engine's slots may grant one.
+ */
 typedef struct QRBalanceLimits {
     unsigned max_open_calls;    /* granted only while fewer calls are open */
     unsigned max_unread_tokens; /* of prompts that wait there to be read */
@@ -48,7 +49,7 @@
     unsigned engine_open, engine_slots; /* at 'engine' */
     bool needs_slot;        /* a slot has to be requested there first */
     QRBalanceLimits limits; /* conditions of that request */
-    bool despite_rest;      /* 'engine' is resting after it rejected calls */
+    bool ignores_backoff;   /* 'engine' is in backoff after it rejected calls */
 } QRBalanceChoice;
 
 /* Chooses among the engines of in->service. */
