--- a/tests/mutants.py
+++ b/tests/mutants.py
@@ -286,17 +286,17 @@
      "        deliver_records(f, f->listed_records);", "members::partial_listing_is_not_announced"),
     ("sidecars-are-told-routes", 7, "fleet/qr_operator.c",
      "value = o->policy->for_sidecars;", "value = known_record->record->value;",
-     "region_links::not_told_of_routes"),
+     "region_links::a_joining_sidecar_is_not_sent_routes"),
     ("sidecars-read-the-store", 7, "sidecar/qr_sidecar.c",
      "reads = now >= s->followed_until_ms + GATEWAY_ABSENT_MS;",
      "reads = !s->followed_gateway || !s->operator.policy;",
-     "region_links::not_told_of_routes"),
+     "region_links::a_joining_sidecar_is_not_sent_routes"),
     ("sidecars-read-for-ignorant-gateways", 7, "sidecar/qr_sidecar.c",
      "    if (s->followed_gateway)\n"
      "        s->followed_until_ms",
      "    if (s->followed_gateway && s->operator.policy)\n"
      "        s->followed_until_ms",
-     "region_links::knows_nothing"),
+     "region_links::sidecars_do_not_read_the_store_when_their_gateway_has_no_records"),
     ("a-failing-reader-asks-nobody", 5,
      ("gateway/qr_gateway_share.c", "gateway/qr_gateway_share.c"),
      ("if (qr_share_own_reads_are_fresh(g, now_ms))\n"
@@ -410,18 +410,18 @@
      "#define ZONE_SAMPLES 2", "#define ZONE_SAMPLES 64", "unit"),
     ("a-mute-peer-is-not-doubted", 7, "net/qr_peer_dial.c",
      "} else if (!t->standby && now_ms >= t->next_standby_ms) {",
-     "} else if (false) {", "silence::heard_again"),
+     "} else if (false) {", "silence::load_is_received_again_on_a_new_connection"),
     ("the-second-connection-counts-at-once", 7, "net/qr_peer_dial.c",
      "if (qr_peer_silent_ms(silent) <\n"
      "        silence_limits[liveness_of(silent)].suspect_ms) {", "if (false) {",
-     "silence::stood_still"),
+     "silence::a_peer_that_was_stopped_keeps_its_connection"),
     ("what-was-told-counts-for-good", 7,
      "gateway/qr_gateway_heartbeat.c",
      "if (m->load_reported_ms == 0 ||\n"
      "            sent_ms <= m->load_reported_ms + LOAD_VALID_MS)",
-     "if (true)", "silence::told_no_more"),
+     "if (true)", "silence::load_that_is_no_longer_sent_expires"),
     ("who-has-nobody-to-ask-rests-on", 7, "gateway/qr_gateway_share.c",
-     "qr_gateway_catch_up_is_overdue(g, now_ms)", "false", "silence::nobody_to_ask"),
+     "qr_gateway_catch_up_is_overdue(g, now_ms)", "false", "silence::a_gateway_behind_with_no_peer_to_ask_reads_the_store"),
     ("kept-connections-are-trusted", 4, "net/qr_client_silence.c",
      "        qr_link_close(l);\n        closed++;", "        closed++;",
      "silence::kept_connections"),
@@ -432,12 +432,12 @@
     ("a-verdict-is-final", 4, "net/qr_client_silence.c",
      "    if (l->call)\n"
      "        l->call->unresponsive = false;", "",
-     "silence::pause_and_go_on"),
+     "silence::streams_that_pause_and_continue_are_not_cut"),
     ("a-place-is-given-away-for-good", 4, "gateway/qr_relay_attempt.c",
      "    if (e && !a->counted_open) {\n"
      "        e->own++;",
      "    if (e && a->mode == ANSWER_NONE && !r->answer_started) {\n"
-     "        e->own++;", "silence::pause_and_go_on"),
+     "        e->own++;", "silence::streams_that_pause_and_continue_are_not_cut"),
     ("a-mute-call-is-not-cut-before-a-bound", 7, "gateway/qr_relay_attempt.c",
      "    if (e && e->own > 0 && a->counted_open) {\n"
      "        e->own--;",
@@ -480,7 +480,7 @@
      "after 'last' */\n        return;", "after 'last_number' */", "unit"),
     ("a-replaced-connection-stays", 7, "gateway/qr_gateway_peers.c",
      "    if (qr_peer_data(peer))\n        qr_peer_close_older(peer);", "",
-     "silence::replaced_is_dead"),
+     "silence::a_connection_replaced_by_its_dialler_is_closed_by_both_sides"),
     ("the-change-behind-a-listing-is-seen", 6,
      "gateway/qr_gateway_store.c", "qr_position_before(next)", "next",
      "members::unseen"),
