--- a/src/fleet/qr_fleet_settings.h
+++ b/src/fleet/qr_fleet_settings.h
@@ -20,7 +20,7 @@
     DEF(log_level, 0, 2, 2)          /* 0 errors, 1 warnings, 2 all */
 
 #define QR_FLEET_SETTINGS_SIDECAR                                              \
-    /* share of the machine's link for weights while calls use the link */     \
+    /* share of the host's link for weights while calls use the link */        \
     DEF(weights_link_percent, 5, 100, 85)
 
 #define QR_FLEET_SETTINGS_GATEWAY                                              \
@@ -45,7 +45,7 @@
     double retry_window_s;
     /* sidecar */
     char *engine, *service;
-    double link_mbit_s; /* of the machine, each direction; 0: unknown */
+    double link_mbit_s; /* of the host, each direction; 0: unknown */
 #define DEF(name, min, max, fallback) int64_t name;
 #define LIMIT DEF
     QR_FLEET_SETTINGS_BOTH QR_FLEET_SETTINGS_GATEWAY QR_FLEET_SETTINGS_SIDECAR
--- a/src/gateway/qr_gateway_peers.c
+++ b/src/gateway/qr_gateway_peers.c
@@ -196,7 +196,7 @@
     if (strcmp(h->name, g->set->host) == 0)
         return;
     added = qr_members_hello(&g->members, h, true, qr_gateway_now(g));
-    /* a machine that lost power did not close the connection that this gateway
+    /* a host that lost power did not close the connection that this gateway
        had dialled */
     if (is_restarted && !qr_peer_dialled(peer) &&
         strcmp(h->role, QR_ROLE_GATEWAY) == 0)
--- a/src/gateway/qr_gateway_share.c
+++ b/src/gateway/qr_gateway_share.c
@@ -245,7 +245,7 @@
 }
 
 /*
- * If this returns false, the fault was in our connections or our machine, and
+ * If this returns false, the fault was in our connections or our host, and
  * bounds of versions ran on. An answer to others later than our last failed try
  * does not count, because the store had just come back then.
  */
--- a/src/gateway/qr_requests.c
+++ b/src/gateway/qr_requests.c
@@ -5,7 +5,7 @@
  * ended: engines cut answers and links break. The gateway therefore opens a
  * new connection to the engine at once. This takes one round trip and is free
  * if the engine is running, since the next call uses the connection. A refused
- * connection means that the engine has ended. If the machine does not respond,
+ * connection means that the engine has ended. If the host does not respond,
  * the engine counts as ended when its record is removed or has a later start.
  */
 #include "qr_requests_parts.h"
--- a/src/net/qr_client.h
+++ b/src/net/qr_client.h
@@ -70,7 +70,7 @@
 /* Result of opening a connection to learn whether a process listens. */
 typedef enum QRClientProbeResult {
     QR_CLIENT_PROBE_OPEN,     /* connected; kept idle for the next request */
-    QR_CLIENT_PROBE_REFUSED,  /* the machine refused: no process listens */
+    QR_CLIENT_PROBE_REFUSED,  /* the host refused: no process listens */
     QR_CLIENT_PROBE_NO_REPLY, /* unknown: timed out or no route */
 } QRClientProbeResult;
 
--- a/src/sidecar/qr_stage.c
+++ b/src/sidecar/qr_stage.c
@@ -8,7 +8,7 @@
 
 #define CONNECT_MS 500
 #define STAGE_TIMEOUT_MS 2000
-/* The engine is on the same machine: 64 pieces are staged in a few ticks. */
+/* The engine is on the same host: 64 pieces are staged in a few ticks. */
 #define STAGE_REQUESTS_MAX 8
 #define ORDER_TIMEOUT_MS 1500
 #define ORDER_RETRY_MS 300
@@ -212,7 +212,7 @@
 /*
  * Announces the order to gateways. The order then waits until the calls that
  * gateways had sent have begun: a call still queued at the engine could begin
- * on the old version after a long pause of the machine. The order also waits
+ * on the old version after a long pause of the host. The order also waits
  * until most running calls have ended. The few long streams that remain are
  * cut and resumed at other engines.
  */
--- a/src/sidecar/qr_upload_limiter.c
+++ b/src/sidecar/qr_upload_limiter.c
@@ -1,5 +1,5 @@
 /*
- * Limits how fast pieces are sent over a machine's link.
+ * Limits how fast pieces are sent over a host's link.
  */
 #include "qr_upload_limiter.h"
 
--- a/src/sidecar/qr_upload_limiter.h
+++ b/src/sidecar/qr_upload_limiter.h
@@ -1,5 +1,5 @@
 /*
- * Limits how fast pieces are sent over a machine's link: a token bucket that
+ * Limits how fast pieces are sent over a host's link: a token bucket that
  * may go into debt by one piece. By default, unused time is not saved up.
  */
 #ifndef QR_UPLOAD_LIMITER_H
--- a/src/sidecar/qr_uploads.c
+++ b/src/sidecar/qr_uploads.c
@@ -8,7 +8,7 @@
 
 #define UPLOADS_IN_FLIGHT_MAX 3 /* pieces sent and not acknowledged */
 #define ACK_TIMEOUT_MS 1500     /* then the peer may be dead: not counted */
-/* Two pieces unacknowledged for so long: this machine's link is slow. */
+/* The link of this host is slow if two pieces are unacknowledged this long. */
 #define ACK_SLOW_MS 500
 #define BURST_MAX_MS 25 /* one tick: the limiter is refilled no more often */
 #define SWITCH_GROUPS 3 /* groups of sidecars, by when they switch versions */
@@ -163,7 +163,7 @@
     }
 }
 
-/* Whether the engine has calls, which share the machine's link with uploads. */
+/* Whether the engine has calls, which share the host's link with uploads. */
 static bool engine_has_calls(const QRSidecar *s)
 {
     return s->reachable && s->report.active + s->report.queued > 0;
--- a/tests/test_silence.py
+++ b/tests/test_silence.py
@@ -96,7 +96,7 @@
     return {"load": fleet_pb2.Load(engines=rows, whole=True, gateways=2)}
 
 
-def room_is(f, room, ident):
+def call_acceptance_is(f, room, ident):
     """A condition for wait_for: a new call is accepted if 'room', else not."""
     calls = [0]
 
@@ -113,11 +113,12 @@
         opened = [f.plain[0].slots]
         other = FakeGateway("other", f.peers[0],
                             lambda: [load(f.plain[0].id, opened[0])])
-        wait_for("calls to be refused", room_is(f, False, "before"), 5)
+        wait_for("calls to be refused",
+                 call_acceptance_is(f, False, "before"), 5)
         other.silence()
         opened[0] = 0
-        wait_for("calls to be accepted again", room_is(f, True, "after"),
-                 DETECT_S)
+        wait_for("calls to be accepted again",
+                 call_acceptance_is(f, True, "after"), DETECT_S)
         other.close()
 
 
@@ -132,7 +133,8 @@
         assert f.call("/unsafe/x", "before")[0] == 200
         other.silence()
         opened[0] = f.plain[0].slots
-        wait_for("calls to be refused", room_is(f, False, "after"), DETECT_S)
+        wait_for("calls to be refused",
+                 call_acceptance_is(f, False, "after"), DETECT_S)
         assert other.dialled == 2
         # a peer that pauses between frames is not dialled repeatedly
         time.sleep(2.0)
@@ -157,10 +159,11 @@
         f.wait_ready()
         frames = [load(f.plain[0].id, f.plain[0].slots)]
         other = FakeGateway("other", f.peers[0], lambda: frames)
-        wait_for("calls to be refused", room_is(f, False, "before"), 5)
+        wait_for("calls to be refused",
+                 call_acceptance_is(f, False, "before"), 5)
         frames.clear()
-        wait_for("calls to be accepted again", room_is(f, True, "after"),
-                 DETECT_S)
+        wait_for("calls to be accepted again",
+                 call_acceptance_is(f, True, "after"), DETECT_S)
         assert other.dialled == 1
         other.close()
 
